--- a/include/peridotfall/running_median.h
+++ b/include/peridotfall/running_median.h
@@ -1,5 +1,6 @@
 /// \file
-/// A median that costs two numbers, for times with a few very long ones.
+/// A running median in constant memory, for durations with a few very long
+/// outliers.
 
 #ifndef PERIDOTFALL_RUNNING_MEDIAN_H
 #define PERIDOTFALL_RUNNING_MEDIAN_H
@@ -12,9 +13,9 @@
 
 namespace peridotfall {
 
-/// Steps towards each value by a share, and faster while the values stay on
-/// one side. A mean would not do: one statement of 50 times the usual length
-/// moves it by whole multiples.
+/// Moves towards each value by a fixed share, and faster while the values stay
+/// on one side. A mean is unsuitable: one statement of 50 times the usual
+/// length multiplies it.
 struct RunningMedian {
   Duration Value{};
   std::size_t Seen = 0;
@@ -24,23 +25,25 @@
   auto operator<=>(const RunningMedian &) const = default;
 
   void add(Duration it) {
-    constexpr std::size_t Early = 30; // Larger steps while nothing is known.
+    constexpr std::size_t EarlySamples = 30; // Larger steps until then.
     constexpr double EarlyStep = 0.2;
     constexpr double Step = 0.04;
-    constexpr Duration Least = std::chrono::microseconds(10);
-    constexpr std::size_t Usual = 4; // In a row, by chance.
-    constexpr double Most = 0.5;
+    constexpr Duration MinValue = std::chrono::microseconds(10);
+    constexpr std::size_t UsualRun = 4; // Values on one side by chance.
+    constexpr double MaxStep = 0.5;
     bool above = it > Value;
     InRow = above == Above ? InRow + 1 : 1;
     Above = above;
-    double faster = InRow > Usual ? static_cast<double>(InRow - Usual + 1) : 1;
-    double by = 1 + std::min((Seen < Early ? EarlyStep : Step) * faster, Most);
+    double faster =
+        InRow > UsualRun ? static_cast<double>(InRow - UsualRun + 1) : 1;
+    double by = 1 + std::min((Seen < EarlySamples ? EarlyStep : Step) * faster,
+                             MaxStep);
     if (Seen++ == 0)
       Value = it;
     else
       Value = Duration(static_cast<Duration::rep>(
           static_cast<double>(Value.count()) * (above ? by : 1 / by)));
-    Value = std::max(Value, Least);
+    Value = std::max(Value, MinValue);
   }
 };
 
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr Duration HalveAt = 2 * Duration(limits::RateWindow);
+/// Above this the sums of served work are halved, so that old work counts less.
+constexpr Duration HalvingThreshold = 2 * Duration(limits::RateWindow);
 
 std::size_t indexOf(WorkClass it) { return static_cast<std::size_t>(it); }
 
@@ -30,26 +31,25 @@
 Admission::Admission(std::uint32_t slots, std::uint64_t seed)
     : Slots(std::max(slots, 1U)), Random(seed) {}
 
-/// Load: a few long statements among short ones. Harm: each slot taken by a
-/// long one, and every lookup waits for a report. Reason: with one slot kept
-/// short work always moves; with a single slot there is nothing to keep.
-bool Admission::longMayStart() const {
+/// Long statements never take the last slot, else every lookup would wait for a
+/// report. A target with a single slot has none to reserve.
+bool Admission::canStartLong() const {
   return Slots < 2 || LongRunning < Slots - 1;
 }
 
-bool Admission::slotFree(bool isLong) const {
-  return Active.size() < Slots && (!isLong || longMayStart());
+bool Admission::hasFreeSlot(bool isLong) const {
+  return Active.size() < Slots && (!isLong || canStartLong());
 }
 
-bool Admission::lookupsFirst() const {
-  return static_cast<double>(GivenLookups.count()) <
-         limits::LookupFloor * static_cast<double>(GivenAll.count());
+bool Admission::lookupsBelowFloor() const {
+  return static_cast<double>(ServedLookupWork.count()) <
+         limits::LookupFloor * static_cast<double>(ServedWork.count());
 }
 
-/// Work still to do on the slots that the statement could get. A statement
-/// that overran is expected to need half as long again as it took: a stuck
-/// target then shows as a growing wait, not as one about to end.
-Duration Admission::remaining(bool isLong, TimePoint now) const {
+/// \return expected work left of the running statements of the same length
+/// class. A statement past its estimate is expected to take half as long again
+/// as it has run, so that a stuck target shows as a growing wait.
+Duration Admission::remainingWork(bool isLong, TimePoint now) const {
   Duration sum{};
   for (const auto &[ticket, it] : Active) {
     auto passed = now - it.At;
@@ -60,39 +60,41 @@
   return sum;
 }
 
-/// Callers take turns, so of another caller's work no more than the
-/// statement's own caller has waiting comes before it.
+/// Callers take turns: of each other caller's work, at most as much as the
+/// statement and its own caller's waiting work comes before it.
 Duration Admission::workAhead(const WorkItem &item) const {
   std::size_t lane = item.Work.Long ? 1 : 0;
   Duration sum{};
   for (std::size_t n = 0; n < indexOf(item.Class); ++n)
-    sum += Lines[n].Work[lane];
-  const auto &line = Lines[indexOf(item.Class)];
-  auto own = line.Flows.find(item.Caller);
-  Duration mine = own == line.Flows.end() ? Duration{} : own->second.Work[lane];
-  sum += mine;
-  for (const auto &[caller, flow] : line.Flows)
+    sum += ClassQueues[n].Work[lane];
+  const auto &queue = ClassQueues[indexOf(item.Class)];
+  auto own = queue.Flows.find(item.Caller);
+  Duration ownWork =
+      own == queue.Flows.end() ? Duration{} : own->second.Work[lane];
+  sum += ownWork;
+  for (const auto &[caller, flow] : queue.Flows)
     if (caller != item.Caller)
-      sum += std::min(flow.Work[lane], mine + item.Work.Expected);
+      sum += std::min(flow.Work[lane], ownWork + item.Work.Expected);
   return sum;
 }
 
 double Admission::recordLoad(TimePoint now) const {
   auto window = static_cast<double>(Duration(limits::RateWindow).count());
-  return decayed(RecordRate, RecordAt, now) / (window * Slots);
+  return decayed(RecentRecordWork, RecentRecordWorkAt, now) / (window * Slots);
 }
 
-void Admission::noteRecord(const WorkItem &item, TimePoint now) {
+void Admission::addRecordWork(const WorkItem &item, TimePoint now) {
   if (item.Class == WorkClass::Lookup)
     return;
-  RecordRate = decayed(RecordRate, RecordAt, now) +
-               static_cast<double>(item.Work.Expected.count());
-  RecordAt = now;
+  RecentRecordWork = decayed(RecentRecordWork, RecentRecordWorkAt, now) +
+                     static_cast<double>(item.Work.Expected.count());
+  RecentRecordWorkAt = now;
 }
 
-/// Slots that serve the statement's line while it waits: writes of record
-/// that come meanwhile go before a lookup.
-double Admission::rateFor(const WorkItem &item, TimePoint now) const {
+/// \return how many slots serve the statement's queue while it waits. For a
+/// lookup, less the share of writes of record that are expected to arrive
+/// meanwhile.
+double Admission::serviceRate(const WorkItem &item, TimePoint now) const {
   double rate = Slots < 2        ? 1.0
                 : item.Work.Long ? Slots - 1.0
                                  : static_cast<double>(Slots - LongRunning);
@@ -104,26 +106,28 @@
 
 Duration Admission::expectedWait(const WorkItem &item, TimePoint now) const {
   auto ahead = workAhead(item);
-  if (ahead == Duration{} && slotFree(item.Work.Long))
+  if (ahead == Duration{} && hasFreeSlot(item.Work.Long))
     return {};
-  return scaled(remaining(item.Work.Long, now) + ahead, 1 / rateFor(item, now));
+  return scaled(remainingWork(item.Work.Long, now) + ahead,
+                1 / serviceRate(item, now));
 }
 
 Duration Admission::shortWait(TimePoint now) const {
   Duration ahead{};
-  for (const auto &it : Lines)
+  for (const auto &it : ClassQueues)
     ahead += it.Work[0];
-  if (ahead == Duration{} && slotFree(false))
+  if (ahead == Duration{} && hasFreeSlot(false))
     return {};
-  return scaled(remaining(false, now) + ahead, 1 / rateFor({}, now));
+  return scaled(remainingWork(false, now) + ahead, 1 / serviceRate({}, now));
 }
 
-bool Admission::fits(const WorkItem &item, Duration wait, TimePoint now) const {
+bool Admission::fitsDeadline(const WorkItem &item, Duration wait,
+                             TimePoint now) const {
   auto left = item.Deadline - now;
   if (left <= Duration{})
     return false;
-  // A wrong estimate must be able to correct itself: with a slot free the
-  // statement runs, whatever it is expected to take.
+  // With a free slot the statement runs whatever its estimate: only a run can
+  // correct a wrong estimate.
   if (wait == Duration{})
     return true;
   double share = item.Class == WorkClass::Lookup ? limits::LookupWaitShare
@@ -131,40 +135,42 @@
   return wait <= scaled(left, share) && wait + item.Work.Expected <= left;
 }
 
-/// Load: saturation, with callers that come back. Harm: all come back in the
-/// same moment and are refused again. Reason: the time is what the queue needs
-/// to become short enough, and is spread over what the slots need for all the
-/// work refused lately.
+/// The retry-after time is what the queue needs to become short enough, plus a
+/// random part of what the slots need for all recently refused work. Without
+/// the spread, refused callers would retry at the same moment and be refused
+/// again.
 Refusal Admission::refuse(AnswerCode code, const WorkItem &item, Duration wait,
                           TimePoint now) {
-  RefusedWork = decayed(RefusedWork, RefusedAt, now, limits::RefusedWindow) +
-                static_cast<double>(item.Work.Expected.count());
-  RefusedAt = now;
+  RecentRefusedWork = decayed(RecentRefusedWork, RecentRefusedWorkAt, now,
+                              limits::RefusedWindow) +
+                      static_cast<double>(item.Work.Expected.count());
+  RecentRefusedWorkAt = now;
   auto allowed = scaled(std::max(item.Deadline - now, Duration{}),
                         limits::LookupWaitShare);
-  auto drain = std::max(wait - allowed, Duration(limits::LeastRetryAfter));
+  auto drain = std::max(wait - allowed, Duration(limits::MinRetryAfter));
   auto spread = std::max(
-      drain, Duration(static_cast<Duration::rep>(RefusedWork / Slots)));
+      drain, Duration(static_cast<Duration::rep>(RecentRefusedWork / Slots)));
   auto after =
       drain + scaled(spread, std::uniform_real_distribution<>(0, 1)(Random));
-  return {code, std::clamp(after, Duration(limits::LeastRetryAfter),
-                           Duration(limits::MostRetryAfter))};
+  return {code, std::clamp(after, Duration(limits::MinRetryAfter),
+                           Duration(limits::MaxRetryAfter))};
 }
 
 Offer Admission::offer(const WorkItem &item, TimePoint now) {
   Offer out;
-  noteRecord(item, now);
+  addRecordWork(item, now);
   auto wait = expectedWait(item, now);
-  if (!fits(item, wait, now)) {
+  if (!fitsDeadline(item, wait, now)) {
     bool late = item.Deadline <= now;
     out.Why = refuse(late ? AnswerCode::DeadlinePassed : AnswerCode::Overloaded,
                      item, wait, now);
     return out;
   }
   if (Waiting >= limits::MaxQueued) {
-    const auto &flows = Lines[indexOf(item.Class)].Flows;
+    const auto &flows = ClassQueues[indexOf(item.Class)].Flows;
     auto own = flows.find(item.Caller);
-    auto other = takeHeaviest(own == flows.end() ? 0 : own->second.size());
+    auto other =
+        removeFromHeaviest(own == flows.end() ? 0 : own->second.size());
     if (!other) {
       out.Why = refuse(AnswerCode::Overloaded, item, wait, now);
       return out;
@@ -179,96 +185,98 @@
 }
 
 void Admission::push(Entry entry) {
-  auto &line = Lines[indexOf(entry.Item.Class)];
+  auto &queue = ClassQueues[indexOf(entry.Item.Class)];
   std::size_t lane = entry.Item.Work.Long ? 1 : 0;
-  auto &flow = line.Flows[entry.Item.Caller];
-  // A caller that had nothing waiting has saved up no turns.
+  auto &flow = queue.Flows[entry.Item.Caller];
+  // A caller with nothing waiting does not accumulate turns.
   if (flow.Lanes[lane].empty())
     flow.VirtualTime[lane] =
-        std::max(flow.VirtualTime[lane], line.VirtualNow[lane]);
+        std::max(flow.VirtualTime[lane], queue.VirtualNow[lane]);
   flow.Work[lane] += entry.Item.Work.Expected;
-  line.Work[lane] += entry.Item.Work.Expected;
+  queue.Work[lane] += entry.Item.Work.Expected;
   flow.Lanes[lane].push_back(std::move(entry));
   ++Waiting;
 }
 
-Admission::Entry Admission::take(Line &line, FlowIt flow, std::size_t lane,
-                                 std::size_t index) {
+Admission::Entry Admission::removeEntry(ClassQueue &queue, FlowIterator flow,
+                                        std::size_t lane, std::size_t index) {
   auto &entries = flow->second.Lanes[lane];
   auto at = entries.begin() + static_cast<std::ptrdiff_t>(index);
   auto out = std::move(*at);
   entries.erase(at);
   flow->second.Work[lane] -= out.Item.Work.Expected;
-  line.Work[lane] -= out.Item.Work.Expected;
+  queue.Work[lane] -= out.Item.Work.Expected;
   if (flow->second.empty())
-    line.Flows.erase(flow);
+    queue.Flows.erase(flow);
   --Waiting;
   return out;
 }
 
-std::optional<Admission::Entry> Admission::takeHeaviest(std::size_t above) {
-  auto &line = Lines[LookupIndex];
-  auto heaviest = std::max_element(line.Flows.begin(), line.Flows.end(),
+std::optional<Admission::Entry>
+Admission::removeFromHeaviest(std::size_t above) {
+  auto &queue = ClassQueues[LookupIndex];
+  auto heaviest = std::max_element(queue.Flows.begin(), queue.Flows.end(),
                                    [](const auto &a, const auto &b) {
                                      return a.second.size() < b.second.size();
                                    });
-  if (heaviest == line.Flows.end() || heaviest->second.size() <= above)
+  if (heaviest == queue.Flows.end() || heaviest->second.size() <= above)
     return std::nullopt;
   auto &lanes = heaviest->second.Lanes;
   std::size_t lane = lanes[0].size() >= lanes[1].size() ? 0 : 1;
-  return take(line, heaviest, lane, lanes[lane].size() - 1);
+  return removeEntry(queue, heaviest, lane, lanes[lane].size() - 1);
 }
 
-/// Load: writes of record and light callers that came after a heavy caller.
-/// Harm: its last lookups are pushed past their deadlines, and learn so only
-/// then. Reason: the last in the order is refused as soon as it no longer
-/// fits, while its caller has time to go elsewhere.
+/// Writes of record and light callers that arrive later push a heavy caller's
+/// last lookups past their deadlines. The last lookup in the order is refused
+/// as soon as it no longer fits, while there is time to use another target.
 void Admission::shedLate(std::size_t lane, TimePoint now,
                          std::vector<Shed> &out) {
-  auto &line = Lines[LookupIndex];
+  auto &queue = ClassQueues[LookupIndex];
   bool isLong = lane == 1;
-  constexpr int Most = 8; // Bounds the work of one offer.
-  for (int n = 0; n < Most && !slotFree(isLong); ++n) {
-    auto last = line.Flows.end();
-    for (auto it = line.Flows.begin(); it != line.Flows.end(); ++it)
+  constexpr int MaxShed = 8; // For each offer, to bound its work.
+  for (int n = 0; n < MaxShed && !hasFreeSlot(isLong); ++n) {
+    auto last = queue.Flows.end();
+    for (auto it = queue.Flows.begin(); it != queue.Flows.end(); ++it)
       if (!it->second.Lanes[lane].empty() &&
-          (last == line.Flows.end() ||
+          (last == queue.Flows.end() ||
            last->second.VirtualTime[lane] + last->second.Work[lane] <
                it->second.VirtualTime[lane] + it->second.Work[lane]))
         last = it;
-    if (last == line.Flows.end())
+    if (last == queue.Flows.end())
       return;
     const auto &entries = last->second.Lanes[lane];
     const auto &item = entries.back().Item;
-    Duration ahead = remaining(isLong, now) - item.Work.Expected;
-    for (const auto &it : Lines)
+    Duration ahead = remainingWork(isLong, now) - item.Work.Expected;
+    for (const auto &it : ClassQueues)
       ahead += it.Work[lane];
-    auto wait = scaled(ahead, 1 / rateFor(item, now));
+    auto wait = scaled(ahead, 1 / serviceRate(item, now));
     if (now + wait + item.Work.Expected <= item.Deadline)
       return;
-    auto entry = take(line, last, lane, entries.size() - 1);
+    auto entry = removeEntry(queue, last, lane, entries.size() - 1);
     out.push_back(
         {entry.Ticket, refuse(AnswerCode::Overloaded, entry.Item, wait, now)});
   }
 }
 
-Admission::FlowIt Admission::nextIn(Line &line, std::size_t lane) {
-  auto best = line.Flows.end();
-  for (auto it = line.Flows.begin(); it != line.Flows.end(); ++it)
+Admission::FlowIterator Admission::nextFlow(ClassQueue &queue,
+                                            std::size_t lane) {
+  auto best = queue.Flows.end();
+  for (auto it = queue.Flows.begin(); it != queue.Flows.end(); ++it)
     if (!it->second.Lanes[lane].empty() &&
-        (best == line.Flows.end() ||
+        (best == queue.Flows.end() ||
          it->second.VirtualTime[lane] < best->second.VirtualTime[lane]))
       best = it;
   return best;
 }
 
-std::optional<TicketHandle> Admission::startFrom(Line &line, TimePoint now) {
-  auto none = line.Flows.end();
-  auto best = nextIn(line, 0);
+std::optional<TicketHandle> Admission::startFrom(ClassQueue &queue,
+                                                 TimePoint now) {
+  auto none = queue.Flows.end();
+  auto best = nextFlow(queue, 0);
   std::size_t lane = 0;
-  if (longMayStart()) {
-    auto other = nextIn(line, 1);
-    // Of the two lanes the one that has waited longer goes first.
+  if (canStartLong()) {
+    auto other = nextFlow(queue, 1);
+    // The lane whose first statement was queued earlier goes first.
     if (other != none &&
         (best == none || other->second.Lanes[1].front().Ticket <
                              best->second.Lanes[0].front().Ticket)) {
@@ -280,21 +288,22 @@
     return std::nullopt;
   auto &flow = best->second;
   auto expected = flow.Lanes[lane].front().Item.Work.Expected;
-  // Load: new callers all the time, one request each. Harm: each comes in at
-  // the present turn, and a caller with a second request never has its own.
-  // Reason: the turn moves on by each waiting caller's share of the work.
-  auto turn = std::max(line.VirtualNow[lane], flow.VirtualTime[lane]);
-  line.VirtualNow[lane] =
-      turn + expected / static_cast<Duration::rep>(line.Flows.size());
+  // The virtual time advances by the work divided by the number of waiting
+  // callers. Otherwise a steady stream of new callers with one request each,
+  // which start at the present virtual time, would starve a caller's second
+  // request.
+  auto turn = std::max(queue.VirtualNow[lane], flow.VirtualTime[lane]);
+  queue.VirtualNow[lane] =
+      turn + expected / static_cast<Duration::rep>(queue.Flows.size());
   flow.VirtualTime[lane] += expected;
-  auto entry = take(line, best, lane, 0);
+  auto entry = removeEntry(queue, best, lane, 0);
   LongRunning += lane;
-  GivenAll += expected;
+  ServedWork += expected;
   if (entry.Item.Class == WorkClass::Lookup)
-    GivenLookups += expected;
-  if (GivenAll > HalveAt) {
-    GivenAll /= 2;
-    GivenLookups /= 2;
+    ServedLookupWork += expected;
+  if (ServedWork > HalvingThreshold) {
+    ServedWork /= 2;
+    ServedLookupWork /= 2;
   }
   Active[entry.Ticket] = {std::move(entry.Item), now};
   return entry.Ticket;
@@ -303,11 +312,11 @@
 std::optional<TicketHandle> Admission::next(TimePoint now) {
   if (Active.size() >= Slots)
     return std::nullopt;
-  if (lookupsFirst())
-    if (auto it = startFrom(Lines[LookupIndex], now))
+  if (lookupsBelowFloor())
+    if (auto it = startFrom(ClassQueues[LookupIndex], now))
       return it;
-  for (auto &line : Lines)
-    if (auto it = startFrom(line, now))
+  for (auto &queue : ClassQueues)
+    if (auto it = startFrom(queue, now))
       return it;
   return std::nullopt;
 }
@@ -322,16 +331,16 @@
 }
 
 void Admission::cancel(TicketHandle ticket) {
-  for (auto &line : Lines)
-    for (auto flow = line.Flows.begin(); flow != line.Flows.end(); ++flow)
+  for (auto &queue : ClassQueues)
+    for (auto flow = queue.Flows.begin(); flow != queue.Flows.end(); ++flow)
       for (std::size_t lane = 0; lane < 2; ++lane) {
         const auto &entries = flow->second.Lanes[lane];
         auto at =
             std::find_if(entries.begin(), entries.end(),
                          [&](const Entry &it) { return it.Ticket == ticket; });
         if (at != entries.end()) {
-          take(line, flow, lane,
-               static_cast<std::size_t>(at - entries.begin()));
+          removeEntry(queue, flow, lane,
+                      static_cast<std::size_t>(at - entries.begin()));
           return;
         }
       }
@@ -340,8 +349,8 @@
 std::vector<Shed> Admission::expire(TimePoint now) {
   bool busy = Active.size() >= Slots;
   std::vector<std::pair<TicketHandle, WorkItem>> late;
-  for (const auto &line : Lines)
-    for (const auto &[caller, flow] : line.Flows)
+  for (const auto &queue : ClassQueues)
+    for (const auto &[caller, flow] : queue.Flows)
       for (const auto &lane : flow.Lanes)
         for (const auto &it : lane)
           if (it.Item.Deadline <= now ||
@@ -359,14 +368,14 @@
 std::vector<Shed> Admission::clear(TimePoint now) {
   std::vector<Shed> out;
   for (auto of : {WorkClass::Record, WorkClass::Lookup}) {
-    auto &line = Lines[indexOf(of)];
-    for (const auto &[caller, flow] : line.Flows)
+    auto &queue = ClassQueues[indexOf(of)];
+    for (const auto &[caller, flow] : queue.Flows)
       for (const auto &lane : flow.Lanes)
         for (const auto &it : lane)
           out.push_back({it.Ticket, refuse(AnswerCode::NotOwner, it.Item,
                                            Duration{}, now)});
-    line.Flows.clear();
-    line.Work = {};
+    queue.Flows.clear();
+    queue.Work = {};
   }
   Waiting -= out.size();
   return out;
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -36,8 +36,8 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "lookups, under a stream of writes, are not starved") {
-  // Writes of record come faster than they run. A lookup still gets its
-  // tenth, so the customer desk sees old figures late instead of none.
+  // Writes of record arrive faster than they run. Lookups still get a tenth of
+  // the work, so they are delayed but not starved.
   int served = 0;
   auto lookup = offer(item("a")).Ticket;
   for (int n = 0; n < 200; ++n) {
@@ -57,10 +57,10 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "caller with two requests, among ever new callers, has its "
-                  "turn") {
-  // Many callers send one lookup each, faster than they run. One caller has
-  // two waiting; the second must not wait behind every newcomer.
+                  "caller with two requests, among a stream of new callers, "
+                  "is served") {
+  // New callers send one lookup each, faster than lookups run. The second
+  // lookup of an earlier caller must not wait behind all of them.
   offer(item("a"));
   auto second = offer(item("a")).Ticket;
   int started = 0;
@@ -96,13 +96,13 @@
     ++admitted;
   CHECK(admitted > 100);
   CHECK((last.Why.Code == AnswerCode::Overloaded));
-  CHECK(last.Why.RetryAfter >= limits::LeastRetryAfter);
-  // Another caller's wait is short: the first has no claim on every turn.
+  CHECK(last.Why.RetryAfter >= limits::MinRetryAfter);
+  // Callers take turns, so another caller's wait is still short.
   CHECK(offer(item("b")).Ticket.valid());
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "times to come back, of many refused, are spread") {
+                  "retry-after times, of many refused callers, are spread") {
   std::vector<Duration> times;
   while (times.size() < 50) {
     auto it = offer(item("a"));
@@ -115,8 +115,9 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "wrong estimate, slot free, is corrected by a run") {
-  // After a bad minute every estimate exceeds the deadline. Were it refused
-  // for that, it would never run again and the estimate would stay.
+  // After a slow period the estimate exceeds every deadline. If that refused
+  // the statement, it would never run again and the estimate would never
+  // change.
   auto it = item("a");
   it.Work.Expected = seconds(30);
   CHECK(offer(it).Ticket.valid());
@@ -125,7 +126,7 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "queue, ownership moved, is handed back whole") {
+                  "queue, ownership moved, refuses all that waits") {
   for (int n = 0; n < 5; ++n)
     offer(item("a"));
   auto started = next();
@@ -139,7 +140,7 @@
   CHECK_FALSE(next().has_value());
 }
 
-TEST_CASE("work estimates, literals differ, are of one statement") {
+TEST_CASE("work estimate keys, only literals differ, are equal") {
   CHECK(normaliseSql("SELECT  a1 FROM t WHERE id = 17 AND n='x y'") ==
         normaliseSql("SELECT a1 FROM t\nWHERE id = 4 AND n='z'"));
   CHECK(normaliseSql("SELECT a FROM t1") != normaliseSql("SELECT a FROM t2"));
@@ -147,7 +148,7 @@
 
 TEST_CASE("work estimates, 50 times the median, are long") {
   WorkEstimator it;
-  CHECK(it.estimate("report").Long); // Not known to be short.
+  CHECK(it.estimate("report").Long); // No estimate yet.
   for (int n = 0; n < 100; ++n)
     it.observe("lookup", milliseconds(4));
   it.observe("report", milliseconds(200));
--- a/tests/admission/load_model.h
+++ b/tests/admission/load_model.h
@@ -1,8 +1,8 @@
 /// \file
-/// A model of entry daemons, owners and targets in virtual time, for tests and
-/// measurements of the decisions under load. The decisions are the library's
-/// own; the model has the delays, the targets and the callers, and beside them
-/// plain baselines.
+/// A simulation of entry daemons, owners and targets in virtual time, for tests
+/// and benchmarks of admission and placement under load. It uses the library's
+/// Admission, Placement and RetryBudget; delays, targets, callers and the
+/// baseline policy are modelled here.
 
 #ifndef PERIDOTFALL_TESTS_ADMISSION_LOAD_MODEL_H
 #define PERIDOTFALL_TESTS_ADMISSION_LOAD_MODEL_H
@@ -30,12 +30,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t Places = 3;  ///< Failure domains; a target in each.
-constexpr std::size_t Daemons = 9; ///< Three in each failure domain.
+constexpr std::size_t FailureDomains = 3;     ///< Each has one target a group.
+constexpr std::size_t Daemons = 9;            ///< Three in each failure domain.
 constexpr Duration Service = milliseconds(4); ///< Of a short statement.
 constexpr TimePoint Start{std::chrono::hours(1)};
 
-/// Sizes of one of the users' deployments.
+/// Sizes of a deployment.
 struct Deployment {
   std::string Name;
   std::uint32_t Slots = 2;
@@ -57,29 +57,29 @@
 
 enum class Policy { Peridotfall, Baseline };
 
-/// What callers do, and what goes wrong.
+/// Demand of the callers and faults of the targets.
 struct LoadPlan {
   std::string Name;
   Duration Length = seconds(20);
-  double Base = 0.4; ///< Of the capacity in short statements.
+  double Base = 0.4; ///< Demand / capacity, both in short statements.
   double Raised = 0; ///< The same, from RaisedFrom to RaisedTo.
   Duration RaisedFrom{};
   Duration RaisedTo{};
-  double HeavyCaller = 0; ///< Share of the demand of one caller.
-  double LongShare = 0;   ///< Statements of 50 times the work; reads.
-  double SlowFactor = 1;  ///< Of one replica, from SlowFrom to SlowTo.
+  double HeavyCaller = 0; ///< Share of the demand from caller 0.
+  double LongShare = 0;   ///< Share of statements, all reads, with 50x work.
+  double SlowFactor = 1;  ///< Of one replica, SlowFrom to SlowTo.
   Duration SlowFrom{};
   Duration SlowTo{};
   Duration Lag = milliseconds(20);
   std::size_t Databases = 3;
-  bool CallersLeave = false; ///< Half give up after 100 ms.
-  bool ComeBack = false;     ///< Refused callers do, once, when told to.
+  bool CallersAbandon = false; ///< Half leave after 100 ms.
+  bool RefusedRetry = false; ///< Refused callers retry once, after RetryAfter.
 };
 
 enum class RequestClass { Record, Fresh, Stale };
 constexpr std::size_t RequestClasses = 3;
 
-/// One request of a caller and its end.
+/// One request of a caller and its result.
 struct Call {
   std::size_t Database = 0;
   std::size_t Caller = 0;
@@ -88,26 +88,26 @@
   bool Long = false;
   Position NotBefore;
   Duration MaxAge{};
-  Duration Needs{}; ///< Work on a target that is not slow.
+  Duration ServiceTime{}; ///< On a target that is not slow.
   TimePoint SentAt;
   TimePoint Deadline;
-  // How it ended.
+  // Result.
   bool Ran = false;
   bool Refused = false;
-  Duration Used{}; ///< Slot time.
+  Duration SlotTime{};
   TimePoint EndedAt;
   TimePoint StartedAt;
   Duration RetryAfter{};
   std::size_t Session = 0;
   bool FromReplica = false;
   int Attempts = 0;
-  bool Again = false; ///< Sent by a caller that was refused before.
+  bool IsRetry = false; ///< Sent after a refusal.
   bool PrimaryNext = false;
   TargetName Avoid;
 
   bool inTime() const { return Ran && !Refused && EndedAt <= Deadline; }
-  bool left(TimePoint now) const { return now >= GivesUpAt; }
-  TimePoint GivesUpAt = TimePoint::max();
+  bool abandonedBy(TimePoint now) const { return now >= AbandonedAt; }
+  TimePoint AbandonedAt = TimePoint::max();
 };
 using CallPtr = std::shared_ptr<Call>;
 
@@ -116,34 +116,34 @@
   Simulation(Deployment deployment, LoadPlan plan, Policy policy,
              std::uint64_t seed);
 
-  /// Runs to the end. \return all calls, by the time they were sent.
+  /// Runs all events. \return all calls, in the order they were sent.
   std::vector<CallPtr> run();
   std::uint64_t linkBytes() const;
 
 private:
-  /// One target with its owner before it.
-  struct Site {
+  /// A target and its owner.
+  struct ModelTarget {
     TargetName Name;
-    std::size_t Place = 0;
+    std::size_t Domain = 0;
     bool Primary = false;
     bool Slow = false;
     std::unique_ptr<Admission> Queue;
     WorkEstimator Estimates;
     std::map<TicketHandle, CallPtr> Waiting;
     std::deque<CallPtr> Fifo; ///< Baseline.
-    std::uint32_t Busy = 0;
-    std::uint32_t Open = 0; ///< Connections.
+    std::uint32_t BusySlots = 0;
+    std::uint32_t OpenConnections = 0;
     Position Applied;
   };
   struct Group {
-    std::vector<Site> Sites;
+    std::vector<ModelTarget> Targets;
     std::vector<TimePoint> Commits;
   };
   struct Entry {
     std::vector<Placement> Reads;     ///< By database.
     std::vector<RetryBudget> Retries; ///< By database.
     LinkBudget Link;
-    std::vector<std::size_t> NextInTurn; ///< Baseline.
+    std::vector<std::size_t> NextRoundRobin; ///< Baseline.
   };
   struct Event {
     TimePoint At;
@@ -155,40 +155,42 @@
   };
 
   double random() { return std::uniform_real_distribution<>(0, 1)(Random); }
-  void at(TimePoint when, std::function<void()> action) {
+  void schedule(TimePoint when, std::function<void()> action) {
     Events.push({when, ++LastEvent, std::move(action)});
   }
   Distance distance(std::size_t a, std::size_t b) const;
   Duration oneWay(std::size_t a, std::size_t b) const;
-  Position appliedAt(const Group &group, const Site &site) const;
+  Position appliedAt(const Group &group, const ModelTarget &target) const;
   bool within(Duration from, Duration to) const {
     return Now - Start >= from && Now - Start < to;
   }
 
-  void arrive();
+  void scheduleNextCall();
   CallPtr makeCall();
   void attempt(const CallPtr &call);
-  void send(const CallPtr &call, std::size_t place);
-  std::size_t place(const Call &call, Duration &wait);
-  std::size_t placePlainly(const Call &call);
-  void reach(const CallPtr &call, std::size_t place);
-  void pump(std::size_t database, std::size_t place);
-  void start(const CallPtr &call, std::size_t place, TicketHandle ticket);
-  void end(const CallPtr &call, std::size_t place, TicketHandle ticket,
-           Duration used, AnswerCode code);
-  AnswerCode check(const Call &call, const Group &group, const Site &site);
-  void answer(const CallPtr &call, std::size_t place, AnswerCode code,
-              Duration retryAfter = {});
-  void arrived(const CallPtr &call, std::size_t to, const AnswerReport &report);
-  void close(const CallPtr &call);
-  void comeBack(const Call &call);
-  void refuse(std::size_t database, std::size_t place,
+  void send(const CallPtr &call, std::size_t domain);
+  std::size_t chooseDomain(const Call &call, Duration &wait);
+  std::size_t chooseBaselineDomain(const Call &call);
+  void handleRequest(const CallPtr &call, std::size_t domain);
+  void startWaiting(std::size_t database, std::size_t domain);
+  void start(const CallPtr &call, std::size_t domain, TicketHandle ticket);
+  void finishStatement(const CallPtr &call, std::size_t domain,
+                       TicketHandle ticket, Duration used, AnswerCode code);
+  AnswerCode checkPosition(const Call &call, const Group &group,
+                           const ModelTarget &target);
+  void sendAnswer(const CallPtr &call, std::size_t domain, AnswerCode code,
+                  Duration retryAfter = {});
+  void handleAnswer(const CallPtr &call, std::size_t to,
+                    const AnswerReport &report);
+  void finishCall(const CallPtr &call);
+  void sendAgain(const Call &call);
+  void refuse(std::size_t database, std::size_t domain,
               const std::vector<Shed> &shed);
-  WorkItem itemOf(const Call &call, const Site &site) const;
+  WorkItem itemOf(const Call &call, const ModelTarget &target) const;
 
   const Deployment Sizes;
   const LoadPlan Plan;
-  const Policy How;
+  const Policy ChosenPolicy;
   std::mt19937_64 Random;
   TimePoint Now = Start;
   std::uint64_t LastEvent = 0;
@@ -201,25 +203,25 @@
 
 inline Simulation::Simulation(Deployment deployment, LoadPlan plan,
                               Policy policy, std::uint64_t seed)
-    : Sizes(std::move(deployment)), Plan(std::move(plan)), How(policy),
+    : Sizes(std::move(deployment)), Plan(std::move(plan)), ChosenPolicy(policy),
       Random(seed) {
   Groups.resize(Plan.Databases);
   Sessions.resize(Plan.Databases);
   for (std::size_t n = 0; n < Plan.Databases; ++n) {
-    Groups[n].Sites.resize(Places);
-    for (std::size_t it = 0; it < Places; ++it) {
-      auto &site = Groups[n].Sites[it];
-      site.Name =
+    Groups[n].Targets.resize(FailureDomains);
+    for (std::size_t it = 0; it < FailureDomains; ++it) {
+      auto &target = Groups[n].Targets[it];
+      target.Name =
           TargetName("db" + std::to_string(n) + "-" + std::to_string(it));
-      site.Place = it;
-      site.Primary = it == n % Places;
-      site.Slow = it == (n + 1) % Places;
-      site.Queue = std::make_unique<Admission>(Sizes.Slots, Random());
+      target.Domain = it;
+      target.Primary = it == n % FailureDomains;
+      target.Slow = it == (n + 1) % FailureDomains;
+      target.Queue = std::make_unique<Admission>(Sizes.Slots, Random());
     }
   }
   Entries.resize(Daemons);
   for (auto &it : Entries) {
-    it.NextInTurn.resize(Plan.Databases);
+    it.NextRoundRobin.resize(Plan.Databases);
     it.Retries.resize(Plan.Databases);
     for (std::size_t n = 0; n < Plan.Databases; ++n)
       it.Reads.emplace_back(Random());
@@ -233,7 +235,7 @@
   return n;
 }
 
-/// Places 0 and 1 are one region, 2 the other.
+/// Failure domains 0 and 1 are in one region, 2 is in the other.
 inline Distance Simulation::distance(std::size_t a, std::size_t b) const {
   if (a == b)
     return Distance::SameDomain;
@@ -253,14 +255,14 @@
 }
 
 inline Position Simulation::appliedAt(const Group &group,
-                                      const Site &site) const {
-  auto until = site.Primary ? Now : Now - Plan.Lag;
+                                      const ModelTarget &target) const {
+  auto until = target.Primary ? Now : Now - Plan.Lag;
   auto it = std::upper_bound(group.Commits.begin(), group.Commits.end(), until);
   return {1, static_cast<std::uint64_t>(it - group.Commits.begin())};
 }
 
 inline std::vector<CallPtr> Simulation::run() {
-  arrive();
+  scheduleNextCall();
   while (!Events.empty()) {
     auto it = Events.top();
     Events.pop();
@@ -270,24 +272,25 @@
   return Calls;
 }
 
-inline void Simulation::arrive() {
+inline void Simulation::scheduleNextCall() {
   if (Now - Start >= Plan.Length)
     return;
-  double slots = static_cast<double>(Sizes.Slots * Places * Plan.Databases);
+  double slots =
+      static_cast<double>(Sizes.Slots * FailureDomains * Plan.Databases);
   double capacity = slots / std::chrono::duration<double>(Service).count();
   bool raised = Plan.Raised > 0 && within(Plan.RaisedFrom, Plan.RaisedTo);
   double rate = capacity * (raised ? Plan.Raised : Plan.Base);
   double gap = std::exponential_distribution<>(rate)(Random);
-  at(Now + Duration(static_cast<Duration::rep>(gap * 1e9)), [this] {
+  schedule(Now + Duration(static_cast<Duration::rep>(gap * 1e9)), [this] {
     if (Now - Start < Plan.Length) {
       auto call = makeCall();
       Calls.push_back(call);
-      at(Now + Sizes.ToCaller, [this, call] {
+      schedule(Now + Sizes.ToCaller, [this, call] {
         Entries[call->Entry].Retries[call->Database].earn(Now);
         attempt(call);
       });
     }
-    arrive();
+    scheduleNextCall();
   });
 }
 
@@ -309,7 +312,7 @@
                random() * (1 - Writes) < Plan.LongShare;
   constexpr double LongWork = 50;
   double work = (0.5 + random()) * (call->Long ? LongWork : 1);
-  call->Needs = Duration(
+  call->ServiceTime = Duration(
       static_cast<Duration::rep>(work * static_cast<double>(Service.count())));
   auto session = call->Caller * SessionsEach + Random() % SessionsEach;
   call->NotBefore = Sessions[call->Database][session];
@@ -319,35 +322,35 @@
       Now + (call->Class == RequestClass::Record ? seconds(2) : seconds(1));
   if (call->Long)
     call->Deadline += seconds(4);
-  if (Plan.CallersLeave && random() < 0.5)
-    call->GivesUpAt = Now + milliseconds(100);
+  if (Plan.CallersAbandon && random() < 0.5)
+    call->AbandonedAt = Now + milliseconds(100);
   call->Session = session;
   return call;
 }
 
-inline std::size_t Simulation::placePlainly(const Call &call) {
+inline std::size_t Simulation::chooseBaselineDomain(const Call &call) {
   const auto &group = Groups[call.Database];
-  for (std::size_t n = 0; n < Places; ++n)
-    if (group.Sites[n].Primary &&
+  for (std::size_t n = 0; n < FailureDomains; ++n)
+    if (group.Targets[n].Primary &&
         (call.Class != RequestClass::Stale || call.PrimaryNext))
       return n;
-  return ++Entries[call.Entry].NextInTurn[call.Database] % Places;
+  return ++Entries[call.Entry].NextRoundRobin[call.Database] % FailureDomains;
 }
 
-inline std::size_t Simulation::place(const Call &call, Duration &wait) {
-  if (How == Policy::Baseline)
-    return placePlainly(call);
+inline std::size_t Simulation::chooseDomain(const Call &call, Duration &wait) {
+  if (ChosenPolicy == Policy::Baseline)
+    return chooseBaselineDomain(call);
   const auto &group = Groups[call.Database];
   if (call.Class == RequestClass::Record)
-    return call.Database % Places;
+    return call.Database % FailureDomains;
   auto &entry = Entries[call.Entry];
   std::vector<Candidate> candidates;
-  for (const auto &it : group.Sites)
+  for (const auto &it : group.Targets)
     candidates.push_back({it.Name,
                           it.Primary,
                           true,
                           false,
-                          distance(call.Entry % Places, it.Place),
+                          distance(call.Entry % FailureDomains, it.Domain),
                           {},
                           std::nullopt});
   ReadDemand demand{
@@ -357,18 +360,18 @@
   auto choice = entry.Reads[call.Database].choose(demand, candidates,
                                                   entry.Link.mayUse(Now), Now);
   wait = choice.WaitBefore;
-  for (const auto &it : group.Sites)
+  for (const auto &it : group.Targets)
     if (it.Name == choice.Target)
-      return it.Place;
-  return call.Database % Places;
+      return it.Domain;
+  return call.Database % FailureDomains;
 }
 
 inline void Simulation::attempt(const CallPtr &call) {
   Duration wait{};
-  auto to = place(*call, wait);
+  auto to = chooseDomain(*call, wait);
   ++call->Attempts;
   if (wait > Duration{})
-    at(Now + wait, [this, call, to] { send(call, to); });
+    schedule(Now + wait, [this, call, to] { send(call, to); });
   else
     send(call, to);
 }
@@ -376,65 +379,66 @@
 inline void Simulation::send(const CallPtr &call, std::size_t to) {
   constexpr std::size_t RequestBytes = 400;
   auto &entry = Entries[call->Entry];
-  entry.Reads[call->Database].started(Groups[call->Database].Sites[to].Name);
-  if (distance(call->Entry % Places, to) == Distance::OtherRegion)
+  entry.Reads[call->Database].started(Groups[call->Database].Targets[to].Name);
+  if (distance(call->Entry % FailureDomains, to) == Distance::OtherRegion)
     entry.Link.count(RequestBytes, Now);
-  at(Now + oneWay(call->Entry % Places, to),
-     [this, call, to] { reach(call, to); });
+  schedule(Now + oneWay(call->Entry % FailureDomains, to),
+           [this, call, to] { handleRequest(call, to); });
 }
 
-inline WorkItem Simulation::itemOf(const Call &call, const Site &site) const {
+inline WorkItem Simulation::itemOf(const Call &call,
+                                   const ModelTarget &target) const {
   return {CallerName(std::to_string(call.Caller)),
           call.Class == RequestClass::Record ? WorkClass::Record
                                              : WorkClass::Lookup,
-          site.Estimates.estimate(call.Long ? "long" : "short"),
+          target.Estimates.estimate(call.Long ? "long" : "short"),
           call.Deadline - Sizes.ToCaller -
-              oneWay(call.Entry % Places, site.Place)};
+              oneWay(call.Entry % FailureDomains, target.Domain)};
 }
 
-inline void Simulation::reach(const CallPtr &call, std::size_t to) {
-  auto &site = Groups[call->Database].Sites[to];
-  if (How == Policy::Baseline) {
-    site.Fifo.push_back(call);
-    pump(call->Database, to);
+inline void Simulation::handleRequest(const CallPtr &call, std::size_t to) {
+  auto &target = Groups[call->Database].Targets[to];
+  if (ChosenPolicy == Policy::Baseline) {
+    target.Fifo.push_back(call);
+    startWaiting(call->Database, to);
     return;
   }
-  auto offer = site.Queue->offer(itemOf(*call, site), Now);
+  auto offer = target.Queue->offer(itemOf(*call, target), Now);
   refuse(call->Database, to, offer.Others);
   if (!offer.Ticket.valid()) {
-    answer(call, to, offer.Why.Code, offer.Why.RetryAfter);
+    sendAnswer(call, to, offer.Why.Code, offer.Why.RetryAfter);
     return;
   }
-  site.Waiting[offer.Ticket] = call;
-  pump(call->Database, to);
+  target.Waiting[offer.Ticket] = call;
+  startWaiting(call->Database, to);
 }
 
 inline void Simulation::refuse(std::size_t database, std::size_t to,
                                const std::vector<Shed> &shed) {
-  auto &site = Groups[database].Sites[to];
+  auto &target = Groups[database].Targets[to];
   for (const auto &it : shed) {
-    auto call = site.Waiting[it.Ticket];
-    site.Waiting.erase(it.Ticket);
-    answer(call, to, it.Why.Code, it.Why.RetryAfter);
+    auto call = target.Waiting[it.Ticket];
+    target.Waiting.erase(it.Ticket);
+    sendAnswer(call, to, it.Why.Code, it.Why.RetryAfter);
   }
 }
 
-inline void Simulation::pump(std::size_t database, std::size_t to) {
-  auto &site = Groups[database].Sites[to];
-  if (How == Policy::Baseline) {
-    while (site.Busy < Sizes.Slots && !site.Fifo.empty()) {
-      auto call = site.Fifo.front();
-      site.Fifo.pop_front();
+inline void Simulation::startWaiting(std::size_t database, std::size_t to) {
+  auto &target = Groups[database].Targets[to];
+  if (ChosenPolicy == Policy::Baseline) {
+    while (target.BusySlots < Sizes.Slots && !target.Fifo.empty()) {
+      auto call = target.Fifo.front();
+      target.Fifo.pop_front();
       start(call, to, {});
     }
     return;
   }
-  refuse(database, to, site.Queue->expire(Now));
-  while (auto ticket = site.Queue->next(Now)) {
-    auto call = site.Waiting[*ticket];
-    site.Waiting.erase(*ticket);
-    if (call->left(Now))
-      site.Queue->finish(*ticket);
+  refuse(database, to, target.Queue->expire(Now));
+  while (auto ticket = target.Queue->next(Now)) {
+    auto call = target.Waiting[*ticket];
+    target.Waiting.erase(*ticket);
+    if (call->abandonedBy(Now))
+      target.Queue->finish(*ticket);
     else
       start(call, to, *ticket);
   }
@@ -442,93 +446,94 @@
 
 inline void Simulation::start(const CallPtr &call, std::size_t to,
                               TicketHandle ticket) {
-  auto &site = Groups[call->Database].Sites[to];
-  ++site.Busy;
+  auto &target = Groups[call->Database].Targets[to];
+  ++target.BusySlots;
   call->StartedAt = Now;
-  bool slow = site.Slow && within(Plan.SlowFrom, Plan.SlowTo);
+  bool slow = target.Slow && within(Plan.SlowFrom, Plan.SlowTo);
   double factor = slow ? Plan.SlowFactor : 1;
   auto used = Duration(static_cast<Duration::rep>(
-      static_cast<double>(call->Needs.count()) * factor));
-  if (site.Open < site.Busy) {
-    ++site.Open;
+      static_cast<double>(call->ServiceTime.count()) * factor));
+  if (target.OpenConnections < target.BusySlots) {
+    ++target.OpenConnections;
     used += Sizes.Connect;
   }
-  auto code = check(*call, Groups[call->Database], site);
+  auto code = checkPosition(*call, Groups[call->Database], target);
   if (code != AnswerCode::Ok)
     used = microseconds(200);
-  at(Now + used, [this, call, to, ticket, used, code] {
-    end(call, to, ticket, used, code);
+  schedule(Now + used, [this, call, to, ticket, used, code] {
+    finishStatement(call, to, ticket, used, code);
   });
 }
 
-inline AnswerCode Simulation::check(const Call &call, const Group &group,
-                                    const Site &site) {
-  if (site.Primary)
+inline AnswerCode Simulation::checkPosition(const Call &call,
+                                            const Group &group,
+                                            const ModelTarget &target) {
+  if (target.Primary)
     return AnswerCode::Ok;
   bool old = call.Class == RequestClass::Stale
                  ? Plan.Lag > call.MaxAge
-                 : appliedAt(group, site) < call.NotBefore;
+                 : appliedAt(group, target) < call.NotBefore;
   return old ? AnswerCode::Behind : AnswerCode::Ok;
 }
 
-inline void Simulation::end(const CallPtr &call, std::size_t to,
-                            TicketHandle ticket, Duration used,
-                            AnswerCode code) {
+inline void Simulation::finishStatement(const CallPtr &call, std::size_t to,
+                                        TicketHandle ticket, Duration used,
+                                        AnswerCode code) {
   auto &group = Groups[call->Database];
-  auto &site = group.Sites[to];
-  --site.Busy;
-  site.Queue->finish(ticket);
+  auto &target = group.Targets[to];
+  --target.BusySlots;
+  target.Queue->finish(ticket);
   if (code == AnswerCode::Ok) {
-    site.Estimates.observe(call->Long ? "long" : "short", used);
+    target.Estimates.observe(call->Long ? "long" : "short", used);
     call->Ran = true;
-    call->Used += used;
-    call->FromReplica = !site.Primary;
+    call->SlotTime += used;
+    call->FromReplica = !target.Primary;
   }
   if (call->Class == RequestClass::Record)
     group.Commits.push_back(Now);
   if (call->Class != RequestClass::Stale && code == AnswerCode::Ok)
-    call->NotBefore = std::max(call->NotBefore, appliedAt(group, site));
-  answer(call, to, code);
-  pump(call->Database, to);
+    call->NotBefore = std::max(call->NotBefore, appliedAt(group, target));
+  sendAnswer(call, to, code);
+  startWaiting(call->Database, to);
 }
 
-inline void Simulation::answer(const CallPtr &call, std::size_t to,
-                               AnswerCode code, Duration retryAfter) {
+inline void Simulation::sendAnswer(const CallPtr &call, std::size_t to,
+                                   AnswerCode code, Duration retryAfter) {
   const auto &group = Groups[call->Database];
-  const auto &site = group.Sites[to];
+  const auto &target = group.Targets[to];
   AnswerReport report;
-  report.Target = site.Name;
-  report.FromPrimary = site.Primary;
+  report.Target = target.Name;
+  report.FromPrimary = target.Primary;
   report.Code = code;
-  report.At = appliedAt(group, site);
+  report.At = appliedAt(group, target);
   report.NotBefore = call->NotBefore;
-  if (!site.Primary)
+  if (!target.Primary)
     report.Age = Plan.Lag;
   if (code == AnswerCode::Ok)
-    report.Ran = call->Used;
+    report.Ran = call->SlotTime;
   if (retryAfter > Duration{})
     report.RetryAfter = retryAfter;
-  report.Wait = site.Queue->shortWait(Now);
+  report.Wait = target.Queue->shortWait(Now);
   report.Mode = call->Class == RequestClass::Record  ? Access::Write
                 : call->Class == RequestClass::Fresh ? Access::FreshRead
                                                      : Access::StaleRead;
-  // A write is confirmed by the nearest replica before it is answered.
+  // A write is answered after the nearest replica has confirmed it.
   auto confirmed = code == AnswerCode::Ok && report.Mode == Access::Write
-                       ? 2 * std::min(oneWay(to, (to + 1) % Places),
-                                      oneWay(to, (to + 2) % Places))
+                       ? 2 * std::min(oneWay(to, (to + 1) % FailureDomains),
+                                      oneWay(to, (to + 2) % FailureDomains))
                        : Duration{};
-  at(Now + confirmed + oneWay(call->Entry % Places, to),
-     [this, call, to, report] { arrived(call, to, report); });
+  schedule(Now + confirmed + oneWay(call->Entry % FailureDomains, to),
+           [this, call, to, report] { handleAnswer(call, to, report); });
 }
 
-inline void Simulation::arrived(const CallPtr &call, std::size_t to,
-                                const AnswerReport &report) {
+inline void Simulation::handleAnswer(const CallPtr &call, std::size_t to,
+                                     const AnswerReport &report) {
   constexpr std::size_t AnswerBytes = 1'200;
   auto &entry = Entries[call->Entry];
-  if (distance(call->Entry % Places, to) == Distance::OtherRegion)
+  if (distance(call->Entry % FailureDomains, to) == Distance::OtherRegion)
     entry.Link.count(AnswerBytes, Now);
   auto &reads = entry.Reads[call->Database];
-  reads.answered(report, Places - 1, Now);
+  reads.answered(report, FailureDomains - 1, Now);
   if (report.Mode == Access::Write && report.Code == AnswerCode::Ok)
     reads.noteHead(report.At, Now);
   bool inTime = Now + Sizes.ToCaller < call->Deadline;
@@ -537,10 +542,10 @@
     attempt(call);
     return;
   }
-  constexpr int MostAttempts = 3;
+  constexpr int MaxAttempts = 3;
   bool read = report.Mode != Access::Write;
   if (report.Code == AnswerCode::Overloaded && read && inTime &&
-      call->Attempts < MostAttempts && How == Policy::Peridotfall &&
+      call->Attempts < MaxAttempts && ChosenPolicy == Policy::Peridotfall &&
       call->Avoid.empty() && entry.Retries[call->Database].spend(Now)) {
     call->Avoid = report.Target;
     attempt(call);
@@ -548,30 +553,30 @@
   }
   call->Refused = report.Code != AnswerCode::Ok;
   call->RetryAfter = report.RetryAfter.value_or(Duration{});
-  at(Now + Sizes.ToCaller, [this, call] { close(call); });
+  schedule(Now + Sizes.ToCaller, [this, call] { finishCall(call); });
 }
 
-inline void Simulation::close(const CallPtr &call) {
+inline void Simulation::finishCall(const CallPtr &call) {
   call->EndedAt = Now;
   if (call->Ran && call->Class != RequestClass::Stale) {
     auto &seen = Sessions[call->Database][call->Session];
     seen = std::max(seen, call->NotBefore);
   }
-  if (call->Refused && Plan.ComeBack && !call->Again)
-    at(Now + call->RetryAfter, [this, call] { comeBack(*call); });
+  if (call->Refused && Plan.RefusedRetry && !call->IsRetry)
+    schedule(Now + call->RetryAfter, [this, call] { sendAgain(*call); });
 }
 
-inline void Simulation::comeBack(const Call &call) {
+inline void Simulation::sendAgain(const Call &call) {
   auto it = std::make_shared<Call>(call);
   it->Deadline = Now + (call.Deadline - call.SentAt);
   it->SentAt = Now;
   it->Refused = false;
-  it->Again = true;
+  it->IsRetry = true;
   it->Attempts = 0;
   it->PrimaryNext = false;
   it->Avoid = {};
   Calls.push_back(it);
-  at(Now + Sizes.ToCaller, [this, it] { attempt(it); });
+  schedule(Now + Sizes.ToCaller, [this, it] { attempt(it); });
 }
 
 } // namespace peridotfall::model
--- a/tests/admission/load_outcomes.h
+++ b/tests/admission/load_outcomes.h
@@ -1,5 +1,5 @@
 /// \file
-/// The loads of the measurements, and what became of the callers under them.
+/// The loads of the tests and benchmarks, and their results for the callers.
 
 #ifndef PERIDOTFALL_TESTS_ADMISSION_LOAD_OUTCOMES_H
 #define PERIDOTFALL_TESTS_ADMISSION_LOAD_OUTCOMES_H
@@ -18,7 +18,7 @@
   std::size_t Sent = 0;
   std::size_t InTime = 0;
   std::size_t Refused = 0;
-  std::size_t Late = 0; ///< Ran, and answered after the deadline.
+  std::size_t Late = 0; ///< Ran, but answered after the deadline.
   Duration Median{};    ///< Of the answers.
   Duration Percentile99{};
 };
@@ -27,19 +27,19 @@
   std::array<ClassOutcome, RequestClasses> Classes;
   ClassOutcome All;
   ClassOutcome Short;     ///< Without the long statements.
-  ClassOutcome Again;     ///< Of callers that were refused before.
-  double UsefulWork = 0;  ///< Work answered in time, of the capacity.
-  double WastedWork = 0;  ///< Work answered too late, of the capacity.
-  double LightInTime = 0; ///< Share of the least served light caller.
+  ClassOutcome Again;     ///< Retries of refused callers.
+  double UsefulWork = 0;  ///< Answered in time / capacity.
+  double WastedWork = 0;  ///< Answered too late / capacity.
+  double LightInTime = 0; ///< Lowest share in time of a light caller.
   double HeavyInTime = 0; ///< Share of caller 0.
   double Fairness = 0;    ///< Jain's index of the light callers' shares.
   double StaleOnReplica = 0;
   double ReadsOnReplica = 0;
-  Duration Recovery{};      ///< From the load's end; negative: never.
+  Duration Recovery{};      ///< After the load; negative: never.
   Duration RefusalMedian{}; ///< From request to refusal.
   Duration Refusal99{};
-  double LateRefusals = 0; ///< Of all refusals, after three quarters of the
-                           ///< time that the caller gave.
+  double LateRefusals = 0; ///< Share of refusals after three quarters
+                           ///< of the time to the deadline.
   std::uint64_t LinkBytes = 0;
 };
 
@@ -70,9 +70,9 @@
   return out;
 }
 
-/// From the end of the load until at least 99% of what is sent in each tenth
-/// of a second is answered in time, and stays so.
-inline Duration recoveryOf(const std::vector<CallPtr> &calls, Duration end) {
+/// \return time from the end of the load until, in every later tenth of a
+/// second, at least 99% of the requests sent are answered in time.
+inline Duration recoveryTime(const std::vector<CallPtr> &calls, Duration end) {
   constexpr Duration Step = milliseconds(100);
   constexpr double Enough = 0.99;
   std::map<std::int64_t, std::pair<std::size_t, std::size_t>> steps;
@@ -92,7 +92,8 @@
   return never ? Duration(-1) : (last + 1) * Step;
 }
 
-inline void judgeCallers(const std::vector<CallPtr> &calls, LoadOutcome &out) {
+inline void evaluateCallers(const std::vector<CallPtr> &calls,
+                            LoadOutcome &out) {
   std::map<std::size_t, std::pair<double, double>> byCaller;
   for (const auto &it : calls) {
     byCaller[it->Caller].first += 1;
@@ -117,25 +118,27 @@
 }
 
 inline double replicaShare(const std::vector<CallPtr> &reads) {
-  double done = 0;
-  double there = 0;
+  double answered = 0;
+  double onReplica = 0;
   for (const auto &it : reads) {
-    done += it->Ran && !it->Refused;
-    there += it->Ran && !it->Refused && it->FromReplica;
+    answered += it->Ran && !it->Refused;
+    onReplica += it->Ran && !it->Refused && it->FromReplica;
   }
-  return done > 0 ? there / done : 0;
+  return answered > 0 ? onReplica / answered : 0;
 }
 
-inline void judgeRefusals(const std::vector<CallPtr> &calls, LoadOutcome &out) {
-  constexpr double Near = 0.75;
+inline void evaluateRefusals(const std::vector<CallPtr> &calls,
+                             LoadOutcome &out) {
+  constexpr double LateShare = 0.75;
   std::vector<Duration> took;
   double late = 0;
   for (const auto &it : calls) {
     if (!it->Refused)
       continue;
     took.push_back(it->EndedAt - it->SentAt);
-    late += static_cast<double>(took.back().count()) >
-            Near * static_cast<double>((it->Deadline - it->SentAt).count());
+    late +=
+        static_cast<double>(took.back().count()) >
+        LateShare * static_cast<double>((it->Deadline - it->SentAt).count());
   }
   if (took.empty())
     return;
@@ -145,10 +148,10 @@
   out.LateRefusals = late / static_cast<double>(took.size());
 }
 
-/// \param end of the load, from which recovery counts.
-inline LoadOutcome judge(const std::vector<CallPtr> &calls,
-                         const Deployment &sizes, const LoadPlan &plan,
-                         Duration end) {
+/// \param end of the load, where the recovery time starts.
+inline LoadOutcome evaluate(const std::vector<CallPtr> &calls,
+                            const Deployment &sizes, const LoadPlan &plan,
+                            Duration end) {
   LoadOutcome out;
   out.All = summarise(calls);
   for (std::size_t n = 0; n < RequestClasses; ++n)
@@ -156,25 +159,27 @@
       return it.Class == static_cast<RequestClass>(n);
     }));
   out.Short = summarise(select(calls, [](const Call &it) { return !it.Long; }));
-  out.Again = summarise(select(calls, [](const Call &it) { return it.Again; }));
+  out.Again =
+      summarise(select(calls, [](const Call &it) { return it.IsRetry; }));
   double useful = 0;
   double wasted = 0;
   for (const auto &it : calls) {
-    // What ends after the load would count beyond the capacity.
+    // The capacity does not include work that ends after the plan.
     if (it->EndedAt <= Start + plan.Length)
-      (it->inTime() ? useful : wasted) += static_cast<double>(it->Used.count());
+      (it->inTime() ? useful : wasted) +=
+          static_cast<double>(it->SlotTime.count());
   }
   double capacity = static_cast<double>(plan.Length.count()) * sizes.Slots *
-                    static_cast<double>(Places * plan.Databases);
+                    static_cast<double>(FailureDomains * plan.Databases);
   out.UsefulWork = useful / capacity;
   out.WastedWork = wasted / capacity;
-  judgeCallers(calls, out);
-  judgeRefusals(calls, out);
+  evaluateCallers(calls, out);
+  evaluateRefusals(calls, out);
   out.StaleOnReplica = replicaShare(select(
       calls, [](const Call &it) { return it.Class == RequestClass::Stale; }));
   out.ReadsOnReplica = replicaShare(select(
       calls, [](const Call &it) { return it.Class != RequestClass::Record; }));
-  out.Recovery = recoveryOf(calls, end);
+  out.Recovery = recoveryTime(calls, end);
   return out;
 }
 
@@ -183,13 +188,11 @@
   Simulation simulation(sizes, plan, policy, seed);
   auto calls = simulation.run();
   auto end = std::max(plan.RaisedTo, plan.SlowTo);
-  auto out = judge(calls, sizes, plan, end);
+  auto out = evaluate(calls, sizes, plan, end);
   out.LinkBytes = simulation.linkBytes();
   return out;
 }
 
-// The loads.
-
 inline LoadPlan burst() {
   LoadPlan it;
   it.Name = "burst 10x for 5 s";
@@ -204,7 +207,7 @@
   LoadPlan it = burst();
   it.Name = "burst, come back";
   it.Length = seconds(40);
-  it.ComeBack = true;
+  it.RefusedRetry = true;
   return it;
 }
 
--- a/tests/admission/load_test.cpp
+++ b/tests/admission/load_test.cpp
@@ -1,4 +1,4 @@
-// Decisions under load, judged by what becomes of the callers.
+// Admission and placement under load, checked by the results for the callers.
 
 #include "admission/load_outcomes.h"
 
@@ -31,9 +31,9 @@
 TEST_CASE_FIXTURE(LoadFixture,
                   "saturation, twice the capacity, does useful work and loses "
                   "no write of record") {
-  // Callers send twice what the targets can do. Lookups are refused at once,
-  // each with a time to come back; orders and payments all land in time. With
-  // a plain queue everything waits, and nearly all answers come too late.
+  // Demand is twice the capacity. Excess lookups are refused with a
+  // retry-after time, and every write of record is answered in time. With a
+  // FIFO queue everything waits and nearly all answers are too late.
   auto plan = shorter(saturation(), seconds(6));
   auto it = run(plan);
   CHECK(it.UsefulWork > 0.95);
@@ -46,10 +46,11 @@
   CHECK(record(plain).InTime * 2 < record(plain).Sent);
 }
 
-TEST_CASE_FIXTURE(LoadFixture,
-                  "burst, ten times for a while, is over at once") {
-  // A campaign goes out and lookups rise tenfold. Writes of record land in
-  // time throughout, and once the burst ends the next lookups do, too.
+TEST_CASE_FIXTURE(
+    LoadFixture,
+    "burst, ten times the base load, is recovered from within 1 s") {
+  // Demand rises tenfold for 2 s. Writes of record are answered in time during
+  // the burst, and lookups again once it has ended.
   auto plan = shorter(burst(), seconds(8));
   plan.RaisedFrom = seconds(2);
   plan.RaisedTo = seconds(4);
@@ -60,7 +61,8 @@
 }
 
 TEST_CASE_FIXTURE(LoadFixture,
-                  "refused callers, back when told to, are mostly answered") {
+                  "refused callers, retrying after the given time, are mostly "
+                  "answered") {
   auto plan = shorter(burstComingBack(), seconds(16));
   plan.RaisedFrom = seconds(2);
   plan.RaisedTo = seconds(4);
@@ -71,9 +73,9 @@
 
 TEST_CASE_FIXTURE(LoadFixture,
                   "one caller, 80% of the demand, takes nothing from others") {
-  // One reseller's script sends four fifths of one and a half times the
-  // capacity. The others' requests are answered in time; only its own lookups
-  // are refused.
+  // Demand is 1.5 times the capacity, four fifths of it from one caller. The
+  // requests of the others are answered in time; only the heavy caller's
+  // lookups are refused.
   auto it = run(shorter(oneCaller(), seconds(8)));
   CHECK(it.LightInTime > 0.99);
   CHECK(it.HeavyInTime < 0.7);
@@ -91,8 +93,8 @@
 
 TEST_CASE_FIXTURE(LoadFixture,
                   "long statements, 5%, leave short ones within three times") {
-  // A few reports run fifty times as long as a lookup. One slot of each target
-  // is kept from them, so that lookups and orders pass by.
+  // A few reports run fifty times as long as a lookup. They may not take the
+  // last slot of a target, so lookups and orders do not wait for them.
   auto without = run(shorter(shortOnly(), seconds(10)));
   auto with = run(shorter(longMix(), seconds(10)));
   CHECK(with.Short.Percentile99 < 3 * without.Short.Percentile99);
@@ -100,20 +102,20 @@
 }
 
 TEST_CASE_FIXTURE(LoadFixture,
-                  "callers that leave, in saturation, cost no work") {
-  // Half of the callers hang up after 100 ms. What they asked for is dropped
-  // before it starts, so the slots work for those who stayed.
+                  "callers that leave, in saturation, cause no work") {
+  // Half of the callers leave after 100 ms. Their waiting statements are
+  // dropped before they start, so the slots serve the remaining callers.
   auto plan = shorter(saturation(), seconds(5));
-  plan.CallersLeave = true;
+  plan.CallersAbandon = true;
   Simulation simulation(lendleht(), plan, Policy::Peridotfall, Seed);
-  std::size_t ranForNobody = 0;
+  std::size_t ranAbandoned = 0;
   for (const auto &it : simulation.run())
-    ranForNobody += it->Ran && it->StartedAt >= it->GivesUpAt;
-  CHECK(ranForNobody == 0);
+    ranAbandoned += it->Ran && it->StartedAt >= it->AbandonedAt;
+  CHECK(ranAbandoned == 0);
 }
 
 TEST_CASE_FIXTURE(LoadFixture,
-                  "replicas, up to 1 s behind, serve the reads that may") {
+                  "replicas, up to 1 s behind, serve the reads that allow it") {
   for (auto lag : {milliseconds(0), milliseconds(300), milliseconds(1'000)}) {
     auto it = run(shorter(lagging(lag), seconds(6)));
     CHECK(it.StaleOnReplica >= 0.9);
@@ -123,17 +125,17 @@
 }
 
 TEST_CASE_FIXTURE(LoadFixture,
-                  "each refusal, at any load, says when to return") {
+                  "each refusal, in saturation, has a retry-after time") {
   auto plan = shorter(saturation(), seconds(3));
   Simulation simulation(lendleht(), plan, Policy::Peridotfall, Seed);
   std::size_t refused = 0;
-  bool allSay = true;
+  bool allInRange = true;
   for (const auto &it : simulation.run())
     if (it->Refused) {
       ++refused;
-      allSay = allSay && it->RetryAfter >= limits::LeastRetryAfter &&
-               it->RetryAfter <= limits::MostRetryAfter && !it->Ran;
+      allInRange = allInRange && it->RetryAfter >= limits::MinRetryAfter &&
+                   it->RetryAfter <= limits::MaxRetryAfter && !it->Ran;
     }
   CHECK(refused > 0);
-  CHECK(allSay);
+  CHECK(allInRange);
 }
