--- a/include/peridotfall/placement.h
+++ b/include/peridotfall/placement.h
@@ -1,6 +1,6 @@
 /// \file
-/// Placement of reads: which target of a group, and whether to wait a little
-/// for a replica to catch up. Pure decisions under a clock that is passed in.
+/// Placement of reads: chooses a target of a group and how long to wait for a
+/// replica to catch up. Does no I/O; the caller passes the time.
 
 #ifndef PERIDOTFALL_PLACEMENT_H
 #define PERIDOTFALL_PLACEMENT_H
@@ -25,80 +25,81 @@
 
 using std::chrono::milliseconds;
 
-/// How much faster the primary must be expected to answer before it takes a
-/// read that a replica may take. Load: many lookups. Harm: writes of record
-/// wait behind them in the primary's few slots. Reason: ten statements long,
-/// and a little more than a turn over the slow link with its own penalty, so
-/// that a replica there goes first while the link's budget lasts.
+/// How much faster the primary must be expected to answer before it gets a read
+/// that a replica may serve, so that lookups do not delay writes of record in
+/// the primary's few slots. As long as ten statements, and slightly more than a
+/// round trip over the slow link plus LinkPenalty, so that a replica there is
+/// preferred while the link's budget lasts.
 inline constexpr milliseconds PrimaryPenalty{40};
-/// The same for a target behind the slow link, over and above its way.
+/// The same for a target behind the slow link, in addition to its round trip.
 inline constexpr milliseconds LinkPenalty{20};
-/// Longest wait for a replica to catch up. Load: sessions that read right
-/// after they wrote. Harm: all these reads at the primary. Reason: a caller
-/// does not notice it, and a longer guess is mostly wrong.
-inline constexpr milliseconds MostCatchUp{60};
-/// Lag assumed of a replica of which nothing is known.
+/// Longest wait for a replica to catch up; keeps reads right after a session's
+/// own write off the primary. A caller does not notice a wait this short, and
+/// longer estimates are mostly wrong.
+inline constexpr milliseconds MaxCatchUpWait{60};
+/// Lag assumed of a replica without a known lag.
 inline constexpr milliseconds UnknownLag{20};
-/// A target is ejected when it needs this many times what the others need,
-/// and some time beyond it. Load: one slow target. Harm: a third of the reads
-/// wait for it. Reason: below it, its load alone steers reads away.
+/// A target is ejected when its service time exceeds the fastest target's by
+/// this factor plus EjectSlack; otherwise a third of the reads would wait for a
+/// slow target. Below that, its reported load alone diverts reads.
 inline constexpr double EjectFactor = 4.0;
 inline constexpr milliseconds EjectSlack{5};
-/// Answers that must have been seen before, so that a cold target is not
-/// taken for a slow one.
+/// Answers needed before a target is ejected as slow, so that a cold target is
+/// not ejected.
 inline constexpr std::size_t EjectSamples = 12;
-/// Failures in a row that eject at once.
+/// Failures in a row that eject a target, also before EjectSamples answers.
 inline constexpr std::uint32_t EjectFailures = 3;
-/// First and longest time of an ejection; each in a row is twice as long.
+/// First and longest duration of an ejection; each in a row doubles it.
 inline constexpr milliseconds FirstEjection{5'000};
 inline constexpr milliseconds LongestEjection{60'000};
-/// Time over which a target that comes back takes its full share. Harm
-/// prevented: a cold target gets all reads at once and is ejected again.
+/// Time over which the share of reads of a target rises from RampStart to 1
+/// after an ejection. A cold target that gets all reads at once would be
+/// ejected again.
 inline constexpr milliseconds RampUp{5'000};
 inline constexpr double RampStart = 0.05;
-/// How long a reported load counts fully; then it fades, so that a target
-/// nobody asks is asked again.
+/// Time constant by which a reported wait decays, so that a target that gets no
+/// reads is used again.
 inline constexpr milliseconds ReportFade{1'000};
-/// Samples of the log's head, and the least time between two.
+/// Samples of the log's head, and the minimum time between two.
 inline constexpr std::size_t HeadSamples = 128;
 inline constexpr milliseconds HeadSpacing{20};
-/// Bytes a second that reads placed by choice may send over the link of 30
-/// Mbit/s, for each entry daemon. Harm: replication, which shares the link,
-/// falls behind, and the volume is paid for. Reason: with nine daemons a fifth
-/// of the link at most.
+/// Bytes a second that optional reads of one entry daemon may use of the
+/// 30 Mbit/s link between regions, which replication shares and whose volume is
+/// paid for. With nine daemons this is a fifth of the link at most.
 inline constexpr double LinkBytesPerSecond = 80'000;
 inline constexpr double LinkBurstBytes = 400'000;
 
 } // namespace limits
 
-/// Ordered from near to far.
+/// Network distance between two daemons, nearest first.
 enum class Distance : std::uint8_t { SameDomain, SameRegion, OtherRegion };
 
-/// One target of the group, as this daemon knows it.
+/// The cached state of a target of the group.
 struct Candidate {
   TargetName Name;
   bool IsPrimary = false;
   bool Reachable = true;
   bool Leaving = false;
   Distance Far = Distance::SameDomain;
-  Position Applied;            ///< Zero: not known.
-  std::optional<Duration> Age; ///< Bound on the age of its view, if known.
+  Position Applied; ///< Zero: not known.
+  std::optional<Duration>
+      Age; ///< Upper bound of the age of its data, if known.
 
   auto operator<=>(const Candidate &) const = default;
 };
 
-/// What a read asks for.
+/// What a read requires.
 struct ReadDemand {
   Access Mode = Access::FreshRead;
   Position NotBefore;
   Duration MaxAge{}; ///< Of a stale read.
   bool PrimaryOnly = false;
-  TargetName Avoid; ///< Refused it before; empty: none.
+  TargetName Avoid; ///< Target that refused it before; empty: none.
 
   auto operator<=>(const ReadDemand &) const = default;
 };
 
-/// Where to send it.
+/// Where to send a read.
 struct Choice {
   TargetName Target;     ///< Empty: no target is known.
   Duration WaitBefore{}; ///< For the replica to catch up.
@@ -107,18 +108,18 @@
   auto operator<=>(const Choice &) const = default;
 };
 
-/// What an answer tells of its target.
+/// What an answer reports of its target.
 struct AnswerReport {
   TargetName Target;
   bool FromPrimary = false;
   AnswerCode Code = AnswerCode::Ok;
-  std::optional<Duration> Ran;  ///< On the target, as the owner measured it.
-  std::optional<Duration> Wait; ///< Of a short lookup, as the owner says.
+  std::optional<Duration> Ran;  ///< Run time, measured by the owner.
+  std::optional<Duration> Wait; ///< Queue wait of a short lookup there.
   std::optional<Duration> RetryAfter;
-  std::optional<Duration> Age; ///< Of a replica's view.
-  Position At;                 ///< That the target had reached.
-  Position NotBefore;          ///< That the request asked for.
-  Access Mode = Access::Write; ///< Only reads are compared.
+  std::optional<Duration> Age; ///< Age of a replica's data.
+  Position At;                 ///< Position the target had reached.
+  Position NotBefore;          ///< Position the request required.
+  Access Mode = Access::Write; ///< Only reads update the service times.
 
   auto operator<=>(const AnswerReport &) const = default;
 };
@@ -127,7 +128,8 @@
 class HeadHistory {
 public:
   void note(Position at, TimePoint now);
-  /// \return when the position was there at the latest; now if it is news.
+  /// \return the latest time at which the position was committed; \p now if no
+  /// sample has reached it.
   TimePoint committedBy(Position at, TimePoint now) const;
 
 private:
@@ -138,55 +140,56 @@
   std::deque<Sample> Samples;
 };
 
-/// Bytes that reads placed by choice may send over the slow link.
+/// Token bucket of the bytes that optional reads (those that another target
+/// could serve) may use of the slow link.
 class LinkBudget {
 public:
   bool mayUse(TimePoint now) const;
-  /// Counts bytes sent or received, also of requests without a choice.
+  /// Counts bytes sent or received, also of requests that must use the link.
   void count(std::size_t bytes, TimePoint now);
-  std::uint64_t total() const { return Total; }
+  std::uint64_t total() const { return TotalBytes; }
 
 private:
-  double leftAt(TimePoint now) const;
+  double availableAt(TimePoint now) const;
 
-  double Left = limits::LinkBurstBytes;
-  TimePoint At{};
-  std::uint64_t Total = 0;
+  double AvailableBytes = limits::LinkBurstBytes;
+  TimePoint UpdatedAt{};
+  std::uint64_t TotalBytes = 0;
 };
 
-/// Way there and back.
+/// \return the assumed round-trip time.
 Duration wayOf(Distance it);
 
-/// Places the reads of one database at one entry daemon. Not synchronised.
+/// Places the reads of one database at one entry daemon. Not thread-safe.
 class Placement {
 public:
   explicit Placement(std::uint64_t seed) : Random(seed) {}
 
-  /// \param linkOpen whether reads may be sent over the link by choice.
+  /// \param linkOpen whether optional reads may use the slow link.
   Choice choose(const ReadDemand &demand,
                 const std::vector<Candidate> &candidates, bool linkOpen,
                 TimePoint now);
   void started(const TargetName &target);
-  /// A read that was started was given up by its caller.
+  /// Ends a started read that was abandoned by its caller.
   void dropped(const TargetName &target);
-  /// \param replicas of the group; the floor of ejection depends on it.
+  /// \param replicas of the group; at most half of them are ejected.
   void answered(const AnswerReport &report, std::size_t replicas,
                 TimePoint now);
-  /// Notes that the primary's log has reached a position.
+  /// Records that the primary's log has reached a position.
   void noteHead(Position at, TimePoint now) { Head.note(at, now); }
-  /// Notes what a replica has applied.
+  /// Records the position that a replica has applied.
   void noteApplied(const TargetName &target, Position at, TimePoint now);
-  /// \return whether the target is known to be behind by so much or more.
+  /// \return whether the target is known to lag by \p lag or more.
   bool lagsBy(const TargetName &target, Duration lag) const;
   bool ejected(const TargetName &target, TimePoint now) const;
 
 private:
-  struct Load {
-    RunningMedian Service; ///< Of reads, without the queue.
-    Duration Wait{};       ///< Last reported.
-    TimePoint WaitAt{};    ///< When.
-    Duration Lag{};        ///< Learned from answers.
-    Position Applied;      ///< Learned from answers.
+  struct TargetStats {
+    RunningMedian Service; ///< Run time of reads, without the queue.
+    Duration Wait{};       ///< Last reported queue wait.
+    TimePoint WaitReportedAt{};
+    Duration Lag{};   ///< Valid if LagKnown.
+    Position Applied; ///< Last position it reported.
     bool LagKnown = false;
     std::uint32_t Outstanding = 0;
     std::uint32_t FailuresInRow = 0;
@@ -194,20 +197,21 @@
     TimePoint EjectedUntil{};
   };
 
-  Duration lagOf(const Candidate &it, const Load &load) const;
-  /// \return how long until it may serve the read; nothing: too long.
-  std::optional<Duration> catchUp(const ReadDemand &demand, const Candidate &it,
-                                  TimePoint now) const;
-  Duration cost(const Candidate &it, TimePoint now) const;
-  bool admitted(const Candidate &it, TimePoint now);
-  void learnLag(const AnswerReport &report, Load &load, TimePoint now);
-  void learnApplied(Position at, Load &load, TimePoint now);
-  bool tooSlow(const TargetName &target) const;
+  Duration lagOf(const Candidate &it, const TargetStats &stats) const;
+  /// \return how long until the target can serve the read, or nothing if it
+  /// cannot, or not soon enough.
+  std::optional<Duration> catchUpWait(const ReadDemand &demand,
+                                      const Candidate &it, TimePoint now) const;
+  Duration expectedCost(const Candidate &it, TimePoint now) const;
+  bool isAdmitted(const Candidate &it, TimePoint now);
+  void updateLag(const AnswerReport &report, TargetStats &stats, TimePoint now);
+  void updateApplied(Position at, TargetStats &stats, TimePoint now);
+  bool isTooSlow(const TargetName &target) const;
   void eject(const TargetName &target, std::size_t replicas, TimePoint now);
 
   std::mt19937_64 Random;
   HeadHistory Head;
-  std::map<TargetName, Load> Loads;
+  std::map<TargetName, TargetStats> StatsByTarget;
 };
 
 } // namespace peridotfall
--- a/include/peridotfall/retry_budget.h
+++ b/include/peridotfall/retry_budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many requests an entry daemon may send again for one database.
+/// Limits the retries of an entry daemon for one database.
 
 #ifndef PERIDOTFALL_RETRY_BUDGET_H
 #define PERIDOTFALL_RETRY_BUDGET_H
@@ -10,32 +10,32 @@
 
 namespace limits {
 
-/// Retries that each first attempt allows. Load: a target that fails or
-/// refuses most. Harm: retries multiply the load just when less can be done.
-/// Reason: a fifth more is what the reserve of two targets of three carries.
+/// Retries added for each first attempt. Bounds the extra load while a target
+/// fails or refuses most requests and less can be served. A fifth more is
+/// what the spare capacity of two targets out of three carries.
 inline constexpr double RetriesPerAttempt = 0.2;
-/// Retries a second allowed at any load, so that a quiet database still rides
-/// over a change of primary.
+/// Retries added each second at any load, so that the requests of a database
+/// with little traffic can be retried during a change of primary.
 inline constexpr double RetriesPerSecond = 20.0;
-/// Retries that can be saved up. Reason: what waits at one entry while a
-/// primary changes, not more.
-inline constexpr double MostRetries = 200.0;
+/// Capacity of the bucket: the requests that wait at one entry daemon during a
+/// change of primary.
+inline constexpr double MaxRetries = 200.0;
 
 } // namespace limits
 
-/// A bucket of retries. Not synchronised.
+/// Token bucket of retries. Not thread-safe.
 class RetryBudget {
 public:
-  /// Counts a request's first attempt.
+  /// Adds to the budget for a request's first attempt.
   void earn(TimePoint now);
-  /// \return whether one more attempt may be made; takes it if so.
+  /// Takes one retry from the budget. \return false if none is left.
   bool spend(TimePoint now);
 
 private:
   void refill(TimePoint now);
 
-  double Left = limits::MostRetries / 2;
-  TimePoint At{};
+  double Available = limits::MaxRetries / 2;
+  TimePoint UpdatedAt{};
 };
 
 } // namespace peridotfall
--- a/src/placement/link_budget.cpp
+++ b/src/placement/link_budget.cpp
@@ -4,29 +4,31 @@
 
 namespace peridotfall {
 
-double LinkBudget::leftAt(TimePoint now) const {
-  if (At == TimePoint{})
-    return Left;
-  auto passed = std::chrono::duration<double>(now - At).count();
-  return std::min(Left + std::max(passed, 0.0) * limits::LinkBytesPerSecond,
+double LinkBudget::availableAt(TimePoint now) const {
+  if (UpdatedAt == TimePoint{})
+    return AvailableBytes;
+  auto passed = std::chrono::duration<double>(now - UpdatedAt).count();
+  return std::min(AvailableBytes +
+                      std::max(passed, 0.0) * limits::LinkBytesPerSecond,
                   limits::LinkBurstBytes);
 }
 
-bool LinkBudget::mayUse(TimePoint now) const { return leftAt(now) > 0; }
+bool LinkBudget::mayUse(TimePoint now) const { return availableAt(now) > 0; }
 
 void LinkBudget::count(std::size_t bytes, TimePoint now) {
-  Left = leftAt(now) - static_cast<double>(bytes);
-  // Requests that have no choice do not close the link for more than seconds.
-  Left = std::max(Left, -limits::LinkBurstBytes);
-  At = std::max(At, now);
-  Total += bytes;
+  AvailableBytes = availableAt(now) - static_cast<double>(bytes);
+  // Bounds the debt of requests that must use the link, so that it blocks
+  // optional reads for seconds only.
+  AvailableBytes = std::max(AvailableBytes, -limits::LinkBurstBytes);
+  UpdatedAt = std::max(UpdatedAt, now);
+  TotalBytes += bytes;
 }
 
 void HeadHistory::note(Position at, TimePoint now) {
   if (!Samples.empty() && at <= Samples.back().At)
     return;
   if (!Samples.empty() && now - Samples.back().Seen < limits::HeadSpacing) {
-    // One sample a step; the later time is the careful one.
+    // Merges samples that are too close; the later time is the safe one.
     Samples.back() = {at, now};
     return;
   }
--- a/src/placement/retry_budget.cpp
+++ b/src/placement/retry_budget.cpp
@@ -5,24 +5,26 @@
 namespace peridotfall {
 
 void RetryBudget::refill(TimePoint now) {
-  if (At != TimePoint{}) {
-    auto passed = std::chrono::duration<double>(now - At).count();
-    Left = std::min(Left + std::max(passed, 0.0) * limits::RetriesPerSecond,
-                    limits::MostRetries);
+  if (UpdatedAt != TimePoint{}) {
+    auto passed = std::chrono::duration<double>(now - UpdatedAt).count();
+    Available =
+        std::min(Available + std::max(passed, 0.0) * limits::RetriesPerSecond,
+                 limits::MaxRetries);
   }
-  At = std::max(At, now);
+  UpdatedAt = std::max(UpdatedAt, now);
 }
 
 void RetryBudget::earn(TimePoint now) {
   refill(now);
-  Left = std::min(Left + limits::RetriesPerAttempt, limits::MostRetries);
+  Available =
+      std::min(Available + limits::RetriesPerAttempt, limits::MaxRetries);
 }
 
 bool RetryBudget::spend(TimePoint now) {
   refill(now);
-  if (Left < 1)
+  if (Available < 1)
     return false;
-  Left -= 1;
+  Available -= 1;
   return true;
 }
 
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A primary in the next failure domain, a replica here and one over the link.
+/// A primary in another failure domain of the region, a replica in the own one
+/// and a replica over the link between regions.
 struct PlacementFixture {
   ManualClock Time;
   Placement Reads{1};
@@ -45,7 +46,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "stale read, all replicas well, goes to the own domain") {
+                  "stale read, all replicas healthy, goes to the own domain") {
   CHECK(choose(stale(seconds(5))).Target.Value == "press");
 }
 
@@ -75,22 +76,25 @@
   Far.Age = seconds(3);
   Reads.noteHead({1, 8}, Time.now());
   CHECK(choose(fresh({1, 8})).Target.Value == "depot");
-  // Three seconds later the replicas show what the session wrote.
+  // After more than their lag the replicas include the session's write.
   Time.advance(seconds(4));
   CHECK(choose(fresh({1, 8})).Target.Value == "press");
 }
 
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "read of a session in doubt goes to the primary only") {
+                  "read of a session with a write of unknown outcome goes to "
+                  "the primary only") {
   auto it = fresh({});
   it.PrimaryOnly = true;
   CHECK(choose(it).Target.Value == "depot");
 }
 
-TEST_CASE_FIXTURE(PlacementFixture,
-                  "slow replica is ejected and comes back by degrees") {
-  // A replica needs ten times what the others need. Reads go elsewhere within
-  // about a dozen answers; later it takes a few, then its full share.
+TEST_CASE_FIXTURE(
+    PlacementFixture,
+    "slow replica is ejected and its share rises again gradually") {
+  // A replica takes ten times as long as the others and is ejected after about
+  // a dozen answers. After the ejection it gets a small share of the reads,
+  // then its full share.
   for (int n = 0; n < 40; ++n) {
     answer(Here, milliseconds(4));
     answer(Far, milliseconds(4));
@@ -110,22 +114,23 @@
 }
 
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "both replicas failing, one only is ejected") {
-  AnswerReport lost;
-  lost.Code = AnswerCode::Unavailable;
-  lost.Mode = Access::StaleRead;
+                  "both replicas failing, only one is ejected") {
+  AnswerReport failure;
+  failure.Code = AnswerCode::Unavailable;
+  failure.Mode = Access::StaleRead;
   for (const auto &it : {Here, Far})
     for (int n = 0; n < 10; ++n) {
-      lost.Target = it.Name;
-      Reads.answered(lost, 2, Time.now());
+      failure.Target = it.Name;
+      Reads.answered(failure, 2, Time.now());
     }
   int out = Reads.ejected(Here.Name, Time.now()) +
             Reads.ejected(Far.Name, Time.now());
   CHECK(out == 1);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture,
-                  "link budget spent, replica over the link is left alone") {
+TEST_CASE_FIXTURE(
+    PlacementFixture,
+    "link budget spent, replica over the link is the last choice") {
   Here.Reachable = false;
   CHECK(choose(stale(seconds(5))).OverLink);
   LinkOpen = false;
@@ -135,11 +140,11 @@
   CHECK(choose(stale(seconds(5))).Target.Value == "desk");
 }
 
-// A daemon that holds a replica's connections knows its lag better than a
-// position tells, which may be old because nothing was written since.
+// The reported age of a replica's data is more precise than a lag computed from
+// its position, which may be old only because nothing was written since.
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "age of a replica's view reported, its position does not "
-                  "replace it") {
+                  "reported age of a replica's data is not replaced by its "
+                  "position") {
   Reads.noteHead({1, 8}, Time.now());
   Time.advance(seconds(2));
   Reads.noteHead({1, 9}, Time.now());
@@ -155,7 +160,8 @@
 }
 
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "replica's position known, its lag is the age of the next") {
+                  "replica's position known, its lag is the age of the next "
+                  "position") {
   Reads.noteHead({1, 8}, Time.now());
   Time.advance(seconds(2));
   Reads.noteHead({1, 9}, Time.now());
@@ -167,7 +173,7 @@
   CHECK_FALSE(Reads.lagsBy(Here.Name, milliseconds(100)));
 }
 
-TEST_CASE("link budget, spent, opens again and counts every byte") {
+TEST_CASE("link budget, spent, refills and counts every byte") {
   ManualClock time;
   LinkBudget it;
   CHECK(it.mayUse(time.now()));
@@ -179,8 +185,8 @@
 }
 
 TEST_CASE("retry budget, everything fails, adds a fifth to the load at most") {
-  // A database fails for a minute while 1,000 requests a second come in.
-  // Retries stay a small part of the load instead of multiplying it.
+  // A database fails for a minute at 1,000 requests a second. Without the
+  // budget, retries would multiply the load.
   ManualClock time;
   RetryBudget it;
   int retries = 0;
@@ -195,7 +201,7 @@
   CHECK(retries > Requests * 0.15);
 }
 
-TEST_CASE("retry budget, a quiet database, rides over a failover") {
+TEST_CASE("retry budget, little traffic, lasts for a failover") {
   ManualClock time;
   RetryBudget it;
   it.earn(time.now());
