--- a/include/peridotfall/session_token.h
+++ b/include/peridotfall/session_token.h
@@ -1,6 +1,7 @@
 /// \file
-/// The session token: what a session has written and seen, carried by the
-/// caller and kept nowhere, so that a session may roam between daemons.
+/// The session token: the positions that a session has written and read. The
+/// caller sends it with each request and no daemon stores it, so that a session
+/// may use any daemon.
 
 #ifndef PERIDOTFALL_SESSION_TOKEN_H
 #define PERIDOTFALL_SESSION_TOKEN_H
@@ -14,12 +15,12 @@
 
 namespace peridotfall {
 
-/// What a session knows of one database.
+/// State of a session for one database.
 struct SessionEntry {
-  Position Seen; ///< Reads must not come from before this.
-  /// Digest of the idempotency key of a write whose outcome is unknown; no
-  /// replica's position proves that it is seen, so reads go to the primary
-  /// until the same key is answered. Empty: there is none.
+  Position Seen; ///< Reads must not be older than this.
+  /// Digest of the idempotency key of a write of unknown outcome; empty: none.
+  /// No replica's position proves that it includes this write, so reads go to
+  /// the primary until a request with the same key is answered.
   std::string UnknownKey;
 
   bool primaryOnly() const { return !UnknownKey.empty(); }
@@ -32,7 +33,7 @@
   auto operator<=>(const SessionToken &) const = default;
 };
 
-/// Keys for signing; the one named Current signs, all verify.
+/// Signing keys by id: Current signs, all verify.
 struct TokenKeys {
   std::string Current;
   std::map<std::string, std::string> Secrets;
@@ -40,10 +41,11 @@
   auto operator<=>(const TokenKeys &) const = default;
 };
 
-/// \return text safe for a header. The newest MaxTokenEntries are kept.
+/// \return the signed token, safe in a header, with its newest MaxTokenEntries
+/// entries.
 std::string signToken(const SessionToken &token, const TokenKeys &keys);
 
-/// \return the token, or Invalid, Forged or UnknownKey.
+/// \return the token, or the error Invalid, Forged or UnknownKey.
 Result<SessionToken> verifyToken(const std::string &text,
                                  const TokenKeys &keys);
 
@@ -52,11 +54,11 @@
 SessionToken withSeen(SessionToken token, const DatabaseName &database,
                       Position at, const std::string &key);
 /// \return the token after a write of unknown outcome. Without a key the
-/// outcome can never be asked for, so the session stays with the primary.
+/// outcome can never be queried, so the session stays with the primary.
 SessionToken withUnknown(SessionToken token, const DatabaseName &database,
                          const std::string &key);
 
-/// Reads "id:secret,id:secret"; the first signs.
+/// Parses "id:secret,id:secret"; the first key signs.
 Parsed<TokenKeys> parseTokenKeys(const std::string &text);
 
 } // namespace peridotfall
--- a/src/session/session_token.cpp
+++ b/src/session/session_token.cpp
@@ -18,13 +18,13 @@
 namespace {
 
 // Text form: "v1.KEYID.BODY.MAC", BODY and MAC in base64url. BODY has one
-// line a database: name, term, index and the digest of the key of a write of
-// unknown outcome ("-": none), parted by spaces.
+// line for each database: name, term, index and the digest of the key of a
+// write of unknown outcome ("-": none), separated by spaces.
 constexpr std::string_view Version = "v1";
 constexpr auto NoKey = "-";
-/// Stands for a write without a key: no request's key has this digest.
+/// Marks a write without a key; no key has this digest.
 constexpr auto KeylessWrite = "keyless";
-/// Enough to tell the keys of one session apart.
+/// Enough to distinguish the keys of one session.
 constexpr std::size_t DigestBytes = 9;
 
 std::string sign(const std::string &text, const std::string &secret) {
@@ -40,8 +40,8 @@
   return encodeBase64Url(sign(key, "").substr(0, DigestBytes));
 }
 
-bool sameBytes(const std::string &a, const std::string &b) {
-  // Constant time: the comparison must not tell how far a forgery matches.
+bool equalInConstantTime(const std::string &a, const std::string &b) {
+  // The run time must not reveal how many bytes of a forgery match.
   return a.size() == b.size() &&
          CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
@@ -65,8 +65,9 @@
   return n;
 }
 
-/// The entries that fit, newest positions first: an old position is the
-/// likeliest to have reached every replica already.
+/// \return at most MaxTokenEntries entries: first those with a write of unknown
+/// outcome, then the newest positions. Replicas are the most likely to have
+/// applied the old ones.
 std::vector<std::pair<DatabaseName, SessionEntry>>
 newestEntries(const SessionToken &token) {
   std::vector<std::pair<DatabaseName, SessionEntry>> all(
@@ -89,11 +90,11 @@
       continue;
     auto fields = split(line, ' ');
     if (fields.size() != 4)
-      return Error{ErrorCode::Invalid, "session token: entry malformed"};
+      return Error{ErrorCode::Invalid, "session token: malformed entry"};
     auto term = parseNumber(fields[1]);
     auto index = parseNumber(fields[2]);
     if (!term || !index || fields[3].empty())
-      return Error{ErrorCode::Invalid, "session token: entry malformed"};
+      return Error{ErrorCode::Invalid, "session token: malformed entry"};
     token.Databases[DatabaseName(fields[0])] = {
         {*term, *index}, fields[3] == NoKey ? "" : fields[3]};
   }
@@ -120,18 +121,18 @@
     return Error{ErrorCode::Invalid, "session token: too long"};
   auto parts = split(text, '.');
   if (parts.size() != 4 || parts[0] != Version)
-    return Error{ErrorCode::Invalid, "session token: not of a known form"};
+    return Error{ErrorCode::Invalid, "session token: unknown format"};
   auto it = keys.Secrets.find(parts[1]);
   if (it == keys.Secrets.end())
-    return Error{ErrorCode::UnknownKey, "session token: signed with a key "
-                                        "that is not known here"};
+    return Error{ErrorCode::UnknownKey, "session token: signed with an "
+                                        "unknown key"};
   auto mac = decodeBase64Url(parts[3]);
   auto signedText = text.substr(0, text.rfind('.'));
-  if (!mac || !sameBytes(*mac, sign(signedText, it->second)))
+  if (!mac || !equalInConstantTime(*mac, sign(signedText, it->second)))
     return Error{ErrorCode::Forged, "session token: signature does not match"};
   auto body = decodeBase64Url(parts[2]);
   if (!body)
-    return Error{ErrorCode::Invalid, "session token: body malformed"};
+    return Error{ErrorCode::Invalid, "session token: malformed body"};
   return parseBody(*body);
 }
 
@@ -147,38 +148,38 @@
 SessionToken withUnknown(SessionToken token, const DatabaseName &database,
                          const std::string &key) {
   auto &it = token.Databases[database];
-  // Two unknown writes are more than the entry can name: the session then
-  // stays with the primary, which is always right and only slower.
-  bool second = it.primaryOnly() && it.UnknownKey != digestOf(key);
-  it.UnknownKey = key.empty() || second ? KeylessWrite : digestOf(key);
+  // An entry has room for one unknown write. After a second one the session
+  // stays with the primary, which is correct but slower.
+  bool secondWrite = it.primaryOnly() && it.UnknownKey != digestOf(key);
+  it.UnknownKey = key.empty() || secondWrite ? KeylessWrite : digestOf(key);
   return token;
 }
 
 Parsed<TokenKeys> parseTokenKeys(const std::string &text) {
-  constexpr std::size_t LeastSecret = 16;
+  constexpr std::size_t MinSecretLength = 16;
   constexpr auto Expected = "ID:SECRET[,ID:SECRET...], each secret of 16 "
                             "characters or more, ids of letters and digits";
   TokenKeys keys;
   Findings findings;
   std::size_t n = 0;
   for (const auto &part : split(text, ',')) {
-    auto place = fmt::format("key {}", ++n);
+    auto position = fmt::format("key {}", ++n);
     auto colon = part.find(':');
     auto id = part.substr(0, colon);
-    bool idGood =
+    bool validId =
         !id.empty() && std::all_of(id.begin(), id.end(), [](unsigned char c) {
           return std::isalnum(c) != 0;
         });
-    if (colon == std::string::npos || !idGood ||
-        part.size() - colon - 1 < LeastSecret) {
-      // The secret itself is never repeated in a finding.
-      findings.push_back({place, Expected, "something else"});
+    if (colon == std::string::npos || !validId ||
+        part.size() - colon - 1 < MinSecretLength) {
+      // A finding never contains the secret.
+      findings.push_back({position, Expected, "a malformed entry"});
       continue;
     }
     if (keys.Current.empty())
       keys.Current = id;
     if (!keys.Secrets.emplace(id, part.substr(colon + 1)).second)
-      findings.push_back({place, "each id once", id + " twice"});
+      findings.push_back({position, "unique ids", id + " twice"});
   }
   if (!findings.empty())
     return findings;
--- a/tests/session/session_token_test.cpp
+++ b/tests/session/session_token_test.cpp
@@ -15,14 +15,14 @@
 } // namespace
 
 TEST_CASE_FIXTURE(SessionTokenFixture,
-                  "session token, signed and verified, is the same") {
+                  "session token, signed and verified, is unchanged") {
   auto it = verifyToken(signToken(Token, Keys), Keys);
   REQUIRE(it);
   CHECK(it.value() == Token);
 }
 
 TEST_CASE_FIXTURE(SessionTokenFixture,
-                  "session token, each byte changed, is refused") {
+                  "session token, any byte changed, is rejected") {
   auto text = signToken(Token, Keys);
   for (std::size_t n = 0; n < text.size(); ++n) {
     auto forged = text;
@@ -32,7 +32,7 @@
 }
 
 TEST_CASE_FIXTURE(SessionTokenFixture,
-                  "session token, cut at any length, is refused") {
+                  "session token, truncated at any length, is rejected") {
   auto text = signToken(Token, Keys);
   for (std::size_t n = 0; n < text.size(); ++n)
     CHECK_FALSE(verifyToken(text.substr(0, n), Keys));
