--- a/src/failover/campaign.cpp
+++ b/src/failover/campaign.cpp
@@ -1,4 +1,5 @@
-// One attempt at a change of primary: fence a majority, promote the highest.
+// One attempt at a change of primary: fences a majority of the targets and
+// promotes the one with the highest log position.
 
 #include "failover/group.h"
 
@@ -9,14 +10,14 @@
 
 namespace {
 
-/// Tries that a fenced majority waits for the nominee, or for the old primary
-/// of a hand-over, before it goes on without.
-constexpr int TriesToWait = 3;
+/// Step retries for which a campaign with a fenced majority waits for the
+/// nominee, or for the old primary of a hand-over, before it continues without.
+constexpr int AttemptsToWait = 3;
 
 Successor candidateFor(const GroupState &group, const TargetName &nominee) {
   auto above = highestTerm(group);
-  if (group.Running)
-    above = std::max(above, group.Running->Candidate.InTerm);
+  if (group.RunningCampaign)
+    above = std::max(above, group.RunningCampaign->Candidate.InTerm);
   return {successorTerm(group, nominee, above), nominee};
 }
 
@@ -36,36 +37,37 @@
   return {};
 }
 
-/// Goes on with a later term of the replica that has more.
+/// Restarts the campaign in a later term of the fenced target with the highest
+/// log position.
 void switchNominee(GroupState &group, TimePoint now, Actions &out) {
-  auto to = nameOfHighest(*group.Running);
+  auto to = nameOfHighest(*group.RunningCampaign);
   auto candidate = candidateFor(group, to);
   if (candidate.InTerm == 0) {
     failCampaign(group, now, out);
     out.push_back(TermsExhausted{});
     return;
   }
-  group.Running = Campaign{};
-  group.Running->Candidate = candidate;
-  group.Running->Began = now;
-  group.Running->NextTry = now;
+  group.RunningCampaign = Campaign{};
+  group.RunningCampaign->Candidate = candidate;
+  group.RunningCampaign->Began = now;
+  group.RunningCampaign->NextAttempt = now;
   out.push_back(CampaignBegun{candidate});
   stepCampaign(group, now, out);
 }
 
 void sendPromote(GroupState &group, TimePoint now, Actions &out) {
-  const auto &it = group.Running->Candidate;
-  group.Running->NextTry = now + group.Limits.StepRetry;
+  const auto &it = group.RunningCampaign->Candidate;
+  group.RunningCampaign->NextAttempt = now + group.Limits.StepRetry;
   out.push_back(Promote{it.Nominee, it.InTerm});
 }
 
-/// Failure: a write confirmed in an older term is on one target of the
-/// majority only. Symptom: another is promoted without it, and an
-/// acknowledged write is lost. Any majority shares a target with the one that
-/// confirmed it, and comparing (term, index) finds the log that has it.
-void weighFenced(GroupState &group, TimePoint now, Actions &out) {
-  auto &it = *group.Running;
-  bool waited = now - it.Began >= group.Limits.StepRetry * TriesToWait;
+/// A write confirmed in an older term may be on only one target of the fenced
+/// majority; promoting another would lose an acknowledged write. Any majority
+/// shares a target with the one that confirmed the write, and comparing (term,
+/// index) finds the log that has it.
+void evaluateFenced(GroupState &group, TimePoint now, Actions &out) {
+  auto &it = *group.RunningCampaign;
+  bool waited = now - it.Began >= group.Limits.StepRetry * AttemptsToWait;
   if (it.Fenced.size() < majorityOf(group.Targets.size()))
     return;
   bool oldMissing =
@@ -78,21 +80,22 @@
       switchNominee(group, now, out);
     return;
   }
-  // A record of this very term can only come from the nominee: another owner
-  // has promoted it already, and promoting it again changes nothing.
+  // A record of the candidate's term can only come from the nominee: another
+  // owner has already promoted it, and promoting it again changes nothing.
   const auto &highest = highestFenced(it);
   bool promoted = highest.Last.InTerm == it.Candidate.InTerm;
   if (nominee->second.Last < highest.Last && !promoted) {
     switchNominee(group, now, out);
     return;
   }
-  it.Step = Campaign::Phase::Promoting;
+  it.CurrentPhase = Campaign::Phase::Promoting;
   sendPromote(group, now, out);
 }
 
 bool isCurrent(const GroupState &group, Term term, Campaign::Phase phase) {
-  return group.Running && group.Running->Candidate.InTerm == term &&
-         group.Running->Step == phase;
+  return group.RunningCampaign &&
+         group.RunningCampaign->Candidate.InTerm == term &&
+         group.RunningCampaign->CurrentPhase == phase;
 }
 
 } // namespace
@@ -110,9 +113,9 @@
     if (!best || keyOf(it) > keyOf(*best))
       best = &it;
   }
-  // Failure: this owner is cut off together with one replica. Symptom: it
-  // fences that replica for nothing, and the primary loses a confirmer. Where
-  // no majority answers no campaign can succeed, so none begins.
+  // Without a majority of answers no campaign can succeed, so none begins. An
+  // owner that is cut off together with one replica would only fence that
+  // replica, and the primary would lose a target that confirms writes.
   return best && answering >= majorityOf(group.Targets.size()) ? best->Name
                                                                : TargetName{};
 }
@@ -126,44 +129,44 @@
     out.push_back(TermsExhausted{});
     return false;
   }
-  group.Running = Campaign{};
-  group.Running->Candidate = candidate;
-  group.Running->Began = now;
-  group.Running->NextTry = now;
+  group.RunningCampaign = Campaign{};
+  group.RunningCampaign->Candidate = candidate;
+  group.RunningCampaign->Began = now;
+  group.RunningCampaign->NextAttempt = now;
   out.push_back(CampaignBegun{candidate});
   stepCampaign(group, now, out);
   return true;
 }
 
 void failCampaign(GroupState &group, TimePoint now, Actions &out) {
-  out.push_back(CampaignFailed{group.Running->Candidate});
-  group.Running.reset();
-  // Two candidates that refuse each other must not do so in step for ever:
-  // the ranks wait for different times, and chance parts equal ones.
+  out.push_back(CampaignFailed{group.RunningCampaign->Candidate});
+  group.RunningCampaign.reset();
+  // Keeps two candidates from rejecting each other in lockstep: ranks wait for
+  // different times, and jitter separates equal ones.
   auto stagger = group.Limits.Stagger;
-  auto chance = static_cast<std::int64_t>(
-      draw(group, static_cast<std::uint64_t>(stagger.count())));
+  auto jitter = static_cast<std::int64_t>(
+      nextRandom(group, static_cast<std::uint64_t>(stagger.count())));
   group.NextCampaign =
-      now + stagger * static_cast<int>(rankOf(group)) + milliseconds(chance);
+      now + stagger * static_cast<int>(rankOf(group)) + milliseconds(jitter);
 }
 
 void stepCampaign(GroupState &group, TimePoint now, Actions &out) {
-  auto &it = *group.Running;
+  auto &it = *group.RunningCampaign;
   if (now - it.Began > group.Limits.CampaignLimit) {
     failCampaign(group, now, out);
     return;
   }
-  if (now < it.NextTry)
+  if (now < it.NextAttempt)
     return;
-  if (it.Step == Campaign::Phase::Promoting) {
+  if (it.CurrentPhase == Campaign::Phase::Promoting) {
     sendPromote(group, now, out);
     return;
   }
-  it.NextTry = now + group.Limits.StepRetry;
+  it.NextAttempt = now + group.Limits.StepRetry;
   for (const auto &target : group.Targets)
     if (it.Fenced.count(target.Name) == 0)
       out.push_back(Fence{target.Name, it.Candidate.InTerm});
-  weighFenced(group, now, out);
+  evaluateFenced(group, now, out);
 }
 
 Actions onFenced(GroupState &group, const TargetName &target, Term term,
@@ -171,18 +174,18 @@
                  TimePoint now) {
   Actions out;
   if (outcome == StepOutcome::Done)
-    learn(group, target, report, now, out);
+    recordReport(group, target, report, now, out);
   if (!isCurrent(group, term, Campaign::Phase::Fencing))
     return out;
   if (outcome == StepOutcome::Refused) {
-    // A higher term is under way; its candidate goes first. The probe tells
-    // which term, so that the next try here is above it.
+    // Another candidate has a higher term and takes precedence. The probe
+    // reports that term, so that this owner's next attempt is above it.
     if (auto *it = findWatched(group, target))
       it->NextProbe = now;
     failCampaign(group, now, out);
   } else if (outcome == StepOutcome::Done && report.CurrentTerm == term) {
-    group.Running->Fenced[target] = report;
-    weighFenced(group, now, out);
+    group.RunningCampaign->Fenced[target] = report;
+    evaluateFenced(group, now, out);
   }
   return out;
 }
@@ -192,15 +195,15 @@
                    TimePoint now) {
   Actions out;
   if (outcome == StepOutcome::Done)
-    learn(group, target, report, now, out);
+    recordReport(group, target, report, now, out);
   if (!isCurrent(group, term, Campaign::Phase::Promoting))
     return out;
   if (outcome == StepOutcome::Refused) {
-    // Frozen between fencing and promotion, and a higher term was accepted
-    // meanwhile: the target's own refusal is what keeps this harmless.
+    // This owner was paused between fencing and promotion, and a higher term
+    // was accepted meanwhile. The target's refusal prevents a second primary.
     failCampaign(group, now, out);
   } else if (outcome == StepOutcome::Done && report.IsPrimary) {
-    group.Running.reset();
+    group.RunningCampaign.reset();
     group.AgreedSince.reset();
     for (auto &it : group.Targets)
       if (it.Name != target) {
--- a/src/failover/confirmation.h
+++ b/src/failover/confirmation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Confirmation of writes on one primary, as a pure group commit: one round
+/// Confirmation of writes on one primary as a pure group commit: one round
 /// serves all writes that committed before it began.
 
 #ifndef PERIDOTFALL_FAILOVER_CONFIRMATION_H
@@ -11,20 +11,21 @@
 
 using RoundHandle = Handle<struct RoundTag>;
 
-/// To all replicas: answer once the log holds the position with a last record
-/// of the term, or with the status when the wait is over. onReplica.
+/// Request to all replicas: answer as soon as the log contains the position and
+/// its last record is of the position's term, or with the current status after
+/// the wait. Each answer goes to onReplica.
 struct AskReplicas {
   RoundHandle Round;
   Position At;
   milliseconds Wait{};
   auto operator<=>(const AskReplicas &) const = default;
 };
-/// To the primary: its status. onPrimary.
+/// Requests the primary's status. The answer goes to onPrimary.
 struct AskPrimary {
   RoundHandle Round;
   auto operator<=>(const AskPrimary &) const = default;
 };
-/// The final answer to one who waits.
+/// Result of one confirmation.
 struct Confirmed {
   TicketHandle Ticket;
   bool Safe = false;
@@ -44,38 +45,40 @@
   RoundHandle Round;
   Position At; ///< Highest of its writes.
   std::vector<ConfirmWaiter> Waiters;
-  std::vector<ConfirmWaiter> Held;  ///< On a replica.
-  std::vector<ConfirmWaiter> Asked; ///< The same, and the primary is asked.
-  std::size_t Unanswered = 0;       ///< Replicas.
+  std::vector<ConfirmWaiter> FoundOnReplica; ///< Found on a replica.
+  /// Found on a replica before the pending query to the primary was sent.
+  std::vector<ConfirmWaiter> AwaitingPrimary;
+  std::size_t PendingReplicas = 0; ///< Replicas that have not answered.
 };
 
 struct ConfirmState {
   std::size_t Replicas = 2;
-  /// The load: many writes a second at one primary. The harm prevented: a
-  /// call on each replica for each write. One more round at once than in
-  /// plain group commit halves the wait of a write that just missed one; with
-  /// more, rounds would serve single writes again.
+  /// Limits the calls to the replicas under many writes per second. A second
+  /// concurrent round halves the wait of a write that just missed one; with
+  /// more rounds, each would serve single writes again.
   std::size_t MostRounds = 2;
   std::uint64_t LastHandle = 0;
   std::vector<ConfirmWaiter> Next; ///< Committed after the last round began.
   std::vector<ConfirmRound> Rounds;
 };
 
-/// A write that committed, or a read that was served, at this position.
-/// \param ticket receives its name in Confirmed.
+/// Starts the confirmation of a write that committed, or of a read that was
+/// served, at this position.
+/// \param ticket receives the handle that identifies its Confirmed.
 ConfirmActions onCommitted(ConfirmState &state, Position at, TimePoint deadline,
                            TimePoint now, TicketHandle &ticket);
-/// One replica's answer; nothing: it gave none.
+/// \param report one replica's answer; empty if it gave none.
 ConfirmActions onReplica(ConfirmState &state, RoundHandle round,
                          const std::optional<TargetReport> &report,
                          TimePoint now);
 ConfirmActions onPrimary(ConfirmState &state, RoundHandle round,
                          const std::optional<TargetReport> &report,
                          TimePoint now);
-/// Gives up what is past its deadline.
+/// Fails every confirmation whose deadline has passed.
 ConfirmActions onConfirmTick(ConfirmState &state, TimePoint now);
 
-/// Whether a replica that says this holds the position for good.
+/// Whether a replica with this report has the position's record, and all before
+/// it, from the primary of that term.
 bool holds(const TargetReport &replica, Position at);
 
 } // namespace peridotfall::failover
--- a/src/failover/detection.cpp
+++ b/src/failover/detection.cpp
@@ -1,4 +1,4 @@
-// Who leads, as this owner and the others see it.
+// Detection of the primary from the observations of this owner and its peers.
 
 #include "failover/group.h"
 
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// One lost probe is an ordinary loss; two in a row are a target to avoid.
-constexpr unsigned MissesToAvoid = 2;
-/// A peer's view counts for this many probe intervals.
+/// Consecutive failed probes after which a target counts as not answering. A
+/// single lost probe is ordinary packet loss.
+constexpr unsigned MissedProbesLimit = 2;
+/// Probe intervals for which a peer's observations are valid.
 constexpr int PeerViewIntervals = 3;
 
 } // namespace
@@ -32,48 +33,49 @@
 Timings timingsFor(milliseconds probeInterval) {
   constexpr int ProbesToSuspect = 4;
   constexpr int ProbesToStagger = 2;
-  // A suspicion must outlast the ticks and the probes' own limit.
-  constexpr milliseconds LeastSuspicion{600};
+  // Must exceed the tick interval and the timeout of a probe.
+  constexpr milliseconds MinSuspicion{600};
   Timings it;
   it.ProbeInterval = probeInterval;
-  it.SuspectAfter = std::max(probeInterval * ProbesToSuspect, LeastSuspicion);
+  it.SuspectAfter = std::max(probeInterval * ProbesToSuspect, MinSuspicion);
   it.Stagger = std::max(probeInterval * ProbesToStagger, it.Stagger);
   return it;
 }
 
 milliseconds pauseLimit(const Timings &timings, milliseconds roundTrip) {
-  // The last answer before a pause may be as old as one interval with its
-  // jitter, and the first after it takes a round trip.
+  // The last answer before a pause may be as old as one interval with jitter,
+  // and the first one after it takes a round trip.
   return timings.SuspectAfter - timings.ProbeInterval * 6 / 5 - roundTrip;
 }
 
-/// Failure: this owner was cut off from all targets at once, and the one it
-/// probed last seemed to answer still as it missed the primary. Symptom: a
-/// replica fenced for nothing. A suspicion is four intervals old, so whoever
-/// was silent for two and a half, one lost probe allowed, was cut off too.
+/// If this owner is cut off from all targets at once, the target probed last
+/// must not appear to answer when the primary is already suspected: that
+/// replica would be fenced needlessly. A suspicion takes four intervals, so a
+/// target that was silent for two and a half, which allows for one lost probe,
+/// is cut off too.
 bool answersNow(const GroupState &group, const WatchedTarget &it,
                 TimePoint now) {
-  return it.Answered && it.Missed < MissesToAvoid &&
+  return it.Answered && it.Missed < MissedProbesLimit &&
          now - *it.Answered <= group.Limits.ProbeInterval * 5 / 2;
 }
 
 Sights sightsOf(const GroupState &group, TimePoint now) {
   Sights out;
   for (const auto &it : group.Targets) {
-    auto &sight = out[it.Name];
-    sight.Report = it.Report;
+    auto &observation = out[it.Name];
+    observation.Report = it.Report;
     if (!it.Answered)
       continue;
-    sight.Age = now - *it.Answered;
-    sight.Reachable = sight.Age <= group.Limits.SuspectAfter;
+    observation.Age = now - *it.Answered;
+    observation.Reachable = observation.Age <= group.Limits.SuspectAfter;
   }
   return out;
 }
 
-/// Failure: a candidate froze, or was cut off, after a majority accepted its
-/// term. Symptom: the old primary still answers as primary while no write can
-/// be confirmed, for ever. It suffices to count terms: with a majority above
-/// its own a primary can gain no confirmation, so missing it harms nobody.
+/// If a candidate is paused or cut off after a majority accepted its term, the
+/// old primary still answers as primary, but no write can ever be confirmed.
+/// Counting terms is sufficient: a primary whose term is below that of a
+/// majority gets no confirmation, so ignoring it cannot interrupt writes.
 TargetName leaderOf(const Sights &seen) {
   TargetName leader;
   Term best = 0;
@@ -109,9 +111,9 @@
   return highest;
 }
 
-/// Failure: one owner is cut off from the primary, and nobody else is.
-/// Symptom: a change of primary that nobody needed. Two of three failure
-/// domains that miss it leave at most one in which callers still reach it.
+/// A single owner that is cut off from the primary must not cause a change of
+/// primary. If two of three failure domains miss the primary, callers in at
+/// most one can still reach it.
 bool majorityMissesLeader(const GroupState &group, TimePoint now) {
   if (now - group.LeaderSeen <= group.Limits.SuspectAfter)
     return false;
@@ -145,10 +147,10 @@
   return before.size();
 }
 
-void learn(GroupState &group, const TargetName &target,
-           const TargetReport &report, TimePoint now, Actions &out) {
+void recordReport(GroupState &group, const TargetName &target,
+                  const TargetReport &report, TimePoint now, Actions &out) {
   auto *it = findWatched(group, target);
-  // An answer that was overtaken by one of a higher term is old.
+  // A report of a lower term was overtaken by a later answer.
   if (!it || report.CurrentTerm < it->Report.CurrentTerm)
     return;
   if (!report.Leaving)
@@ -168,8 +170,8 @@
   out.push_back(PrimaryChanged{target, report.CurrentTerm});
 }
 
-/// SplitMix64.
-std::uint64_t draw(GroupState &group, std::uint64_t below) {
+// SplitMix64.
+std::uint64_t nextRandom(GroupState &group, std::uint64_t below) {
   group.Seed += 0x9e3779b97f4a7c15ULL;
   auto n = group.Seed;
   n = (n ^ (n >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/failover/group.cpp
+++ b/src/failover/group.cpp
@@ -7,32 +7,34 @@
 
 namespace {
 
-/// Between two questions to another owner, in calm and with a primary missed.
-constexpr milliseconds CalmAsk{1'000};
-constexpr milliseconds UrgentAsk{50};
-/// Between probes while a primary is missed: the new one is found sooner.
-constexpr milliseconds UrgentProbe{50};
-
-/// Failure: this daemon was paused, and no answer came because none was read.
-/// Symptom: on waking it takes every primary for dead, and goes on with a
-/// campaign that others have long overtaken. Whatever it knew before counts
-/// for nothing, so it looks again first.
-void wakeIfPaused(GroupState &group, TimePoint now, Actions &out) {
+/// Between queries to another owner.
+constexpr milliseconds CalmQueryInterval{1'000};
+/// The same, once no primary has answered for half of SuspectAfter, or while
+/// the replicas of a leaving primary lack a term.
+constexpr milliseconds UrgentQueryInterval{50};
+/// Between probes while no primary answers, to find the new one sooner.
+constexpr milliseconds UrgentProbeInterval{50};
+
+/// A paused daemon reads no answers: on resuming it would assume that every
+/// primary is dead and continue a campaign that others have overtaken. It
+/// discards what it knew before the pause and observes the targets again.
+void resetAfterPause(GroupState &group, TimePoint now, Actions &out) {
   auto last = std::exchange(group.LastTick, now);
   if (!last || now - *last <= group.Limits.SuspectAfter / 3)
     return;
   group.LeaderSeen = now;
   group.Peers.clear();
   group.AgreedSince.reset();
-  if (group.Running)
+  if (group.RunningCampaign)
     failCampaign(group, now, out);
   failHandover(group, HandoverEnd::Interrupted, now, out);
 }
 
 milliseconds withJitter(GroupState &group, milliseconds interval) {
   auto fifth = interval / 5;
-  auto chance = draw(group, static_cast<std::uint64_t>(2 * fifth.count() + 1));
-  return interval - fifth + milliseconds(chance);
+  auto jitter =
+      nextRandom(group, static_cast<std::uint64_t>(2 * fifth.count() + 1));
+  return interval - fifth + milliseconds(jitter);
 }
 
 void probe(GroupState &group, TimePoint now, Actions &out) {
@@ -41,30 +43,32 @@
     if (now < it.NextProbe)
       continue;
     it.NextProbe =
-        now +
-        (missed ? UrgentProbe : withJitter(group, group.Limits.ProbeInterval));
+        now + (missed ? UrgentProbeInterval
+                      : withJitter(group, group.Limits.ProbeInterval));
     out.push_back(Probe{it.Name});
   }
 }
 
-void askPeers(GroupState &group, TimePoint now, Actions &out) {
+void queryPeers(GroupState &group, TimePoint now, Actions &out) {
   bool urgent = lacksTerm(group) ||
                 now - group.LeaderSeen > group.Limits.SuspectAfter / 2;
-  if (now < group.NextAsk && (!urgent || group.NextAsk <= now + UrgentAsk))
+  if (now < group.NextPeerQuery &&
+      (!urgent || group.NextPeerQuery <= now + UrgentQueryInterval))
     return;
-  group.NextAsk = now + (urgent ? UrgentAsk : withJitter(group, CalmAsk));
-  std::vector<VmName> asked{group.Self};
+  group.NextPeerQuery = now + (urgent ? UrgentQueryInterval
+                                      : withJitter(group, CalmQueryInterval));
+  std::vector<VmName> queried{group.Self};
   for (const auto &it : group.Targets)
-    if (std::find(asked.begin(), asked.end(), it.Owner) == asked.end()) {
-      asked.push_back(it.Owner);
+    if (std::find(queried.begin(), queried.end(), it.Owner) == queried.end()) {
+      queried.push_back(it.Owner);
       out.push_back(AskPeer{it.Owner, group.Object.Version});
     }
 }
 
-/// Failure: a target does not follow the primary, since it was cut off or led
-/// before. Symptom: one replica fewer confirms writes, and a second failure
-/// stops them. Each owner tells what it sees; the same order twice is
-/// harmless, and one of an old term is refused.
+/// A target that was cut off or was the primary before does not follow the new
+/// one: one replica fewer confirms writes, and a second failure would stop
+/// them. Each owner sends the command to the targets that it observes;
+/// repeating it has no effect, and a target refuses one of an old term.
 void keepFollowing(GroupState &group, TimePoint now, Actions &out) {
   if (!hasLeader(group, now))
     return;
@@ -79,10 +83,11 @@
   }
 }
 
-/// Failure: a candidate fenced one replica and gave up. Symptom: the replica
-/// refuses the log of its primary for ever. The primary is promoted again, in
-/// a term above.
-bool mustHeal(GroupState &group, TimePoint now) {
+/// A candidate that fenced one replica and then failed leaves that replica in a
+/// higher term, in which it refuses its primary's log indefinitely. The primary
+/// is then promoted again in a term above.
+/// \return whether this owner should do so now.
+bool mustRepromote(GroupState &group, TimePoint now) {
   bool due = false;
   for (auto &it : group.Targets) {
     bool ahead = hasLeader(group, now) && answersNow(group, it, now) &&
@@ -91,21 +96,22 @@
       it.AheadSince.reset();
     else if (!it.AheadSince)
       it.AheadSince = now;
-    auto wait = group.Limits.HealAfter +
+    auto wait = group.Limits.RepromoteAfter +
                 group.Limits.Stagger * static_cast<int>(rankOf(group));
     due = due || (it.AheadSince && now - *it.AheadSince >= wait);
   }
   return due && now >= group.NextCampaign;
 }
 
-/// \return whether this owner's turn has come to replace the primary.
+/// \return whether it is this owner's turn to replace the primary.
 bool mustReplace(GroupState &group, TimePoint now) {
   if (!majorityMissesLeader(group, now)) {
     group.AgreedSince.reset();
     return false;
   }
   auto highest = highestTerm(group);
-  // A term that grew since is another candidate at work: it gets its turn.
+  // A higher term since then shows that another candidate is active; the wait
+  // begins again.
   if (!group.AgreedSince || highest > group.HighestAtAgreement) {
     group.AgreedSince = now;
     group.HighestAtAgreement = highest;
@@ -114,14 +120,14 @@
   return now - *group.AgreedSince >= wait && now >= group.NextCampaign;
 }
 
-void considerCampaign(GroupState &group, TimePoint now, Actions &out) {
-  if (group.Running || group.Leaving)
+void beginCampaignIfDue(GroupState &group, TimePoint now, Actions &out) {
+  if (group.RunningCampaign || group.RunningHandover)
     return;
   if (mustReplace(group, now)) {
     auto nominee = pickNominee(group, now);
     if (!nominee.empty())
       beginCampaign(group, nominee, now, out);
-  } else if (mustHeal(group, now)) {
+  } else if (mustRepromote(group, now)) {
     beginCampaign(group, group.Primary, now, out);
   }
 }
@@ -159,13 +165,13 @@
 
 Actions onTick(GroupState &group, TimePoint now) {
   Actions out;
-  wakeIfPaused(group, now, out);
+  resetAfterPause(group, now, out);
   probe(group, now, out);
-  askPeers(group, now, out);
-  if (group.Running)
+  queryPeers(group, now, out);
+  if (group.RunningCampaign)
     stepCampaign(group, now, out);
   stepHandover(group, now, out);
-  considerCampaign(group, now, out);
+  beginCampaignIfDue(group, now, out);
   keepFollowing(group, now, out);
   stepPublication(group, now, out);
   return out;
@@ -174,7 +180,7 @@
 Actions onStatus(GroupState &group, const TargetName &target,
                  const TargetReport &report, TimePoint now) {
   Actions out;
-  learn(group, target, report, now, out);
+  recordReport(group, target, report, now, out);
   return out;
 }
 
@@ -189,7 +195,7 @@
                    TimePoint now) {
   group.Peers[peer] = {std::move(seen), now};
   Actions out;
-  considerCampaign(group, now, out);
+  beginCampaignIfDue(group, now, out);
   return out;
 }
 
--- a/src/failover/group_object.cpp
+++ b/src/failover/group_object.cpp
@@ -1,4 +1,4 @@
-// The group's object as JSON.
+// JSON form of the group object.
 
 #include "base/document.h"
 #include "peridotfall/failover.h"
--- a/src/failover/handover.cpp
+++ b/src/failover/handover.cpp
@@ -9,22 +9,25 @@
 
 namespace {
 
-/// Writes that the target had taken when the hold began end within this.
-constexpr milliseconds Settle{50};
-constexpr milliseconds FastProbe{20};
-/// Between two tries within the limit of a leaving primary, and after it: a
-/// group whose replicas all lag for long must not hold its writes for ever.
+/// Writes that the target had accepted when the hold began end within this.
+constexpr milliseconds SettleTime{50};
+/// Between probes while waiting for a replica to catch up.
+constexpr milliseconds FastProbeInterval{20};
+/// Between two attempts within the limit for a leaving primary.
 constexpr milliseconds RetryPause{200};
+/// Between two attempts after that limit: a group whose replicas all lag for
+/// long must not hold its writes indefinitely.
 constexpr milliseconds RetryPauseLate{3'000};
-/// After a try that a write of another owner has overtaken. Each uses up a
-/// term, and other daemons learn meanwhile who owns the primary now.
-constexpr milliseconds RetryOvertaken{700};
+/// After an attempt that was overtaken by a write through another owner. Each
+/// attempt uses up a term, and the other daemons need time to learn the
+/// primary's current owner.
+constexpr milliseconds RetryAfterOvertaken{700};
 
 bool hasTerm(const GroupState &group, const WatchedTarget &replica) {
   return successorTerm(group, replica.Name, highestTerm(group)) != 0;
 }
 
-/// Whether the target could lead in the primary's place.
+/// Whether the target could replace the primary.
 bool isCandidate(const GroupState &group, const WatchedTarget &it) {
   return it.Name != group.Primary && !it.Report.Leaving &&
          it.Report.CurrentTerm == group.InTerm;
@@ -36,8 +39,9 @@
          now - *primary.LeavingSince < group.Limits.LeavingLimit;
 }
 
-/// \return longest hold of a try. A second one within the limit is longer: the
-/// first was too short for the links and replicas as they are.
+/// \return longest hold of one attempt. Later ones within the limit for a
+/// leaving primary are longer: the first was too short for the current state of
+/// the links and replicas.
 milliseconds holdLimit(const GroupState &group, const WatchedTarget &primary,
                        TimePoint now) {
   bool first = now - *primary.LeavingSince < group.Limits.HandoverLimit;
@@ -45,7 +49,8 @@
   return longer ? 2 * group.Limits.HandoverLimit : group.Limits.HandoverLimit;
 }
 
-/// \return one that has a term before others, and of these the furthest.
+/// \return a candidate that answers: preferably one with an assigned term, then
+/// the one with the highest log position. Null if there is none.
 const WatchedTarget *pickReplica(const GroupState &group, TimePoint now) {
   const WatchedTarget *best = nullptr;
   auto keyOf = [&](const WatchedTarget &it) {
@@ -58,10 +63,10 @@
   return best;
 }
 
-/// \return a replica that has all of the primary's log; null: none yet.
-const WatchedTarget *findLevel(const GroupState &group,
-                               const WatchedTarget &primary) {
-  auto settled = group.Leaving->Began + Settle;
+/// \return a replica that has all of the primary's log; null if none has yet.
+const WatchedTarget *findCaughtUp(const GroupState &group,
+                                  const WatchedTarget &primary) {
+  auto settled = group.RunningHandover->Began + SettleTime;
   auto answered = [&](const WatchedTarget &it) {
     return it.Answered && *it.Answered >= settled;
   };
@@ -74,11 +79,11 @@
 
 void probeSoon(GroupState &group, TimePoint now) {
   for (auto &it : group.Targets)
-    it.NextProbe = std::min(it.NextProbe, now + FastProbe);
+    it.NextProbe = std::min(it.NextProbe, now + FastProbeInterval);
 }
 
-/// \return whether a hand-over to the replica can begin. Why none can is told
-/// once.
+/// \return whether a hand-over to the replica can begin. If not, the reason is
+/// reported once.
 bool mayBegin(GroupState &group, const WatchedTarget *replica, Actions &out) {
   std::optional<HandoverEnd> why;
   if (!replica)
@@ -111,35 +116,36 @@
 
 void failHandover(GroupState &group, HandoverEnd why, TimePoint now,
                   Actions &out) {
-  if (!group.Leaving)
+  if (!group.RunningHandover)
     return;
-  out.push_back(HandoverFailed{group.Leaving->From, group.Leaving->To, why});
-  const auto *primary = findWatched(group, group.Leaving->From);
+  out.push_back(HandoverFailed{group.RunningHandover->From,
+                               group.RunningHandover->To, why});
+  const auto *primary = findWatched(group, group.RunningHandover->From);
   bool soon = primary && isWithinLimit(group, *primary, now);
   endHandover(group, now, out);
   group.NextHandover =
-      now + (why == HandoverEnd::CampaignFailed ? RetryOvertaken
+      now + (why == HandoverEnd::CampaignFailed ? RetryAfterOvertaken
              : soon                             ? RetryPause
                                                 : RetryPauseLate);
 }
 
 void endHandover(GroupState &group, TimePoint now, Actions &out) {
-  if (!group.Leaving)
+  if (!group.RunningHandover)
     return;
-  group.Leaving.reset();
+  group.RunningHandover.reset();
   out.push_back(HoldWrites{now});
 }
 
-/// Failure: a leaving primary is fenced while its last writes are on no
-/// replica. Symptom: their callers get "unknown", though nothing failed.
-/// Writes are held first, the replica draws level, and the old primary is
-/// among the fenced: had it gone on, it would be the highest and be promoted
+/// Fencing a leaving primary while its last writes are on no replica would
+/// answer their callers "unknown" although nothing failed. So writes are held
+/// until a replica has caught up, and the old primary is among the fenced
+/// targets: if it accepted more writes, it has the highest log and is promoted
 /// again itself.
 void stepHandover(GroupState &group, TimePoint now, Actions &out) {
-  if (group.Running)
+  if (group.RunningCampaign)
     return;
-  // The hold ends with the change that it was made for.
-  if (group.Leaving && group.Primary != group.Leaving->From)
+  // The primary has changed, so the hold is no longer needed.
+  if (group.RunningHandover && group.Primary != group.RunningHandover->From)
     endHandover(group, now, out);
   const auto *primary = findWatched(group, group.Primary);
   if (!primary || primary->Owner != group.Self) {
@@ -147,11 +153,11 @@
     group.HandoverBlocked.reset();
     return;
   }
-  if (group.Leaving && !group.Leaving->To.empty()) {
+  if (group.RunningHandover && !group.RunningHandover->To.empty()) {
     failHandover(group, HandoverEnd::CampaignFailed, now, out);
     return;
   }
-  if (!group.Leaving) {
+  if (!group.RunningHandover) {
     if (!primary->Report.Leaving || !hasLeader(group, now)) {
       group.HandoverBlocked.reset();
       return;
@@ -162,21 +168,21 @@
     if (!mayBegin(group, replica, out))
       return;
     auto until = now + holdLimit(group, *primary, now);
-    group.Leaving = Handover{group.Primary, now, until, {}};
+    group.RunningHandover = Handover{group.Primary, now, until, {}};
     out.push_back(HoldWrites{until});
   }
-  if (now >= group.Leaving->Until) {
+  if (now >= group.RunningHandover->Until) {
     failHandover(group, HandoverEnd::ReplicaBehind, now, out);
     return;
   }
-  const auto *replica = findLevel(group, *primary);
+  const auto *replica = findCaughtUp(group, *primary);
   if (!replica) {
     probeSoon(group, now);
     return;
   }
-  group.Leaving->To = replica->Name;
+  group.RunningHandover->To = replica->Name;
   if (beginCampaign(group, replica->Name, now, out))
-    group.Running->OldPrimary = primary->Name;
+    group.RunningCampaign->OldPrimary = primary->Name;
   else
     failHandover(group, HandoverEnd::NoTerm, now, out);
 }
--- a/src/failover/publication.cpp
+++ b/src/failover/publication.cpp
@@ -1,5 +1,5 @@
-// The group's object at the platform: kept in calm times, never needed for a
-// change of primary itself.
+// Reads and writes the group object at the platform. It is updated while a
+// primary answers; a change of primary itself needs no call to the platform.
 
 #include "failover/group.h"
 
@@ -10,19 +10,21 @@
 
 namespace {
 
-/// Terms given beforehand to each target: so many changes of primary can
-/// follow each other while the platform is away.
+/// Terms assigned in advance to each target, for changes of primary while the
+/// platform is unavailable.
 constexpr std::size_t TermsPerTarget = 4;
-/// New ones are given when fewer than this are left to each.
+/// New terms are assigned when fewer than this are left per target on average.
 constexpr std::size_t LowTermsPerTarget = 2;
-/// A call without an answer for this long is given up and read back.
+/// A call without an answer for this long is abandoned, and the object is read
+/// back.
 constexpr milliseconds CallLimit{3'000};
-/// Ranks above 0 publish only what the ones below have left undone.
+/// Delay per rank before an owner publishes, so that higher ranks publish only
+/// what lower ones have not.
 constexpr milliseconds RankWait{500};
 /// Between calls while a leaving primary waits for a term; doubled after each
-/// that fails.
+/// failed call.
 constexpr milliseconds UrgentRetry{250};
-constexpr unsigned MostUrgentDoublings = 3;
+constexpr unsigned MaxUrgentDoublings = 3;
 
 std::size_t termsLeft(const GroupState &group) {
   auto above = highestTerm(group);
@@ -44,9 +46,9 @@
          termsLeft(group) < LowTermsPerTarget * group.Targets.size();
 }
 
-/// Failure: a term is given to two replicas. Symptom: two primaries in one
-/// term, each with its own log. New terms begin above every term that the
-/// replaced object gives away, and the update is conditional on that object.
+/// A term assigned to two targets would allow two primaries in one term, each
+/// with its own log. New terms are above every term that the replaced object
+/// assigns, and the update is conditional on that object's version.
 GroupObject nextObject(const GroupState &group) {
   GroupObject out;
   out.InTerm = group.InTerm;
@@ -69,37 +71,38 @@
   return out;
 }
 
-/// Whether the next call waits neither for a silent one nor for a pause.
+/// Whether the next call is sent without waiting for an unanswered one or for
+/// the end of the back-off.
 bool isUrgent(const GroupState &group, TimePoint now) {
   const auto &it = group.Object;
-  auto wait = UrgentRetry * (1 << std::min(it.Failures, MostUrgentDoublings));
+  auto wait = UrgentRetry * (1 << std::min(it.Failures, MaxUrgentDoublings));
   return lacksTerm(group) && now - it.CallBegan >= wait;
 }
 
-void call(Publication &it, TimePoint now) {
-  it.Calling = true;
+void beginCall(Publication &it, TimePoint now) {
+  it.CallPending = true;
   it.CallBegan = now;
 }
 
-void read(GroupState &group, TimePoint now, Actions &out) {
-  call(group.Object, now);
+void requestRead(GroupState &group, TimePoint now, Actions &out) {
+  beginCall(group.Object, now);
   out.push_back(GetObject{});
 }
 
-/// The load: after an outage thousands of groups call at once. The harm
-/// prevented: the platform, which takes two thousand reads a second from
-/// everyone, goes down again. Each failure doubles the wait, with chance in
-/// it; the limit keeps the object at most half a minute late.
+/// After an outage thousands of groups call at once, while the platform serves
+/// two thousand reads per second in total and could go down again. Each failure
+/// doubles the wait, with jitter; the limit keeps the object at most half a
+/// minute late.
 void backOff(GroupState &group, TimePoint now) {
-  constexpr unsigned MostDoublings = 5;
+  constexpr unsigned MaxDoublings = 5;
   auto &it = group.Object;
   auto wait =
-      group.Limits.PublishRetry * (1 << std::min(it.Failures, MostDoublings));
+      group.Limits.PublishRetry * (1 << std::min(it.Failures, MaxDoublings));
   ++it.Failures;
-  auto chance = draw(group, static_cast<std::uint64_t>(wait.count()));
-  it.Calling = false;
+  auto jitter = nextRandom(group, static_cast<std::uint64_t>(wait.count()));
+  it.CallPending = false;
   it.MustRead = true;
-  it.NextCall = now + wait / 2 + milliseconds(chance);
+  it.NextCall = now + wait / 2 + milliseconds(jitter);
 }
 
 } // namespace
@@ -119,41 +122,42 @@
 
 void stepPublication(GroupState &group, TimePoint now, Actions &out) {
   auto &it = group.Object;
-  if (it.Calling && now - it.CallBegan > CallLimit)
+  if (it.CallPending && now - it.CallBegan > CallLimit)
     backOff(group, now);
   if (!isStale(group, now))
     it.StaleSince.reset();
   else if (!it.StaleSince)
     it.StaleSince = now;
   bool waits =
-      it.Calling || now < it.NextCall || (lacksTerm(group) && !it.MustRead);
+      it.CallPending || now < it.NextCall || (lacksTerm(group) && !it.MustRead);
   if (waits && !isUrgent(group, now))
     return;
   bool old = !it.LastRead || now - *it.LastRead >= group.Limits.RefreshEvery;
-  if (it.MustRead || old || it.Calling) {
-    read(group, now, out);
+  if (it.MustRead || old || it.CallPending) {
+    requestRead(group, now, out);
     return;
   }
   auto rank = lacksTerm(group) ? std::size_t{0} : rankOf(group);
   if (!it.StaleSince ||
       now - *it.StaleSince < RankWait * static_cast<int>(rank))
     return;
-  // Another owner has probably published it; a read is cheaper than a refusal.
+  // Another owner has probably published it; a read is cheaper than a refused
+  // write.
   if (rankOf(group) > 0 && *it.LastRead < *it.StaleSince) {
-    read(group, now, out);
+    requestRead(group, now, out);
     return;
   }
   auto value = nextObject(group);
   value.Id = fmt::format("{}-{}-{}", group.Self.Value, group.Seed, ++it.Writes);
   it.PendingId = value.Id;
-  call(it, now);
+  beginCall(it, now);
   out.push_back(PutObject{it.Version, std::move(value)});
 }
 
 Actions onObject(GroupState &group, const std::optional<GroupObject> &object,
                  std::uint64_t version, TimePoint now) {
   auto &it = group.Object;
-  it.Calling = false;
+  it.CallPending = false;
   it.MustRead = false;
   it.Failures = 0;
   it.LastRead = now;
@@ -188,10 +192,9 @@
   return {};
 }
 
-/// Failure: the platform stored the object and its answer was lost. Symptom:
-/// the owner goes on with the old version, and each of its writes is refused.
-/// However a write ends, the object is read back, and its terms count only
-/// once read.
+/// If the platform stored the object but its answer was lost, an owner that
+/// continued with the old version would have every write refused. The object is
+/// read back whatever the outcome, and its terms are used only once read.
 Actions onPutDone(GroupState &group, const std::string &id, StepOutcome outcome,
                   TimePoint now) {
   auto &it = group.Object;
@@ -201,7 +204,7 @@
     backOff(group, now);
     return {};
   }
-  it.Calling = false;
+  it.CallPending = false;
   it.MustRead = true;
   return onTick(group, now);
 }
--- a/tests/failover/confirmation_test.cpp
+++ b/tests/failover/confirmation_test.cpp
@@ -17,10 +17,10 @@
 
   TicketHandle commit(Position at, milliseconds limit = milliseconds(1'000)) {
     TicketHandle ticket;
-    take(onCommitted(State, at, Clock.now() + limit, Clock.now(), ticket));
+    record(onCommitted(State, at, Clock.now() + limit, Clock.now(), ticket));
     return ticket;
   }
-  void take(const ConfirmActions &actions) {
+  void record(const ConfirmActions &actions) {
     Seen.insert(Seen.end(), actions.begin(), actions.end());
   }
   template <class T> std::vector<T> all() const {
@@ -31,14 +31,14 @@
     return out;
   }
   void replica(RoundHandle round, Position last, Term term = Current) {
-    take(onReplica(State, round, TargetReport{term, false, last, {}, false},
-                   Clock.now()));
+    record(onReplica(State, round, TargetReport{term, false, last, {}, false},
+                     Clock.now()));
   }
   void primary(RoundHandle round, bool leads = true, Term term = Current) {
-    take(onPrimary(State, round, TargetReport{term, leads, {}, {}, false},
-                   Clock.now()));
+    record(onPrimary(State, round, TargetReport{term, leads, {}, {}, false},
+                     Clock.now()));
   }
-  /// Nothing: not answered yet.
+  /// \return the result of the confirmation; empty while there is none.
   std::optional<bool> answer(TicketHandle ticket) const {
     for (const auto &it : all<Confirmed>())
       if (it.Ticket == ticket)
@@ -51,7 +51,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(ConfirmationFixture,
-                  "write, held by a replica and then by its primary, is "
+                  "write, found on a replica and its primary still leading, is "
                   "confirmed") {
   auto it = commit({Current, 7});
   replica(lastRound(), {Current, 7});
@@ -62,7 +62,8 @@
 }
 
 TEST_CASE_FIXTURE(ConfirmationFixture,
-                  "writes, many while rounds run, share the next round") {
+                  "writes, many committed while rounds run, share the next "
+                  "round") {
   for (std::uint64_t n = 1; n <= 100; ++n)
     commit({Current, n});
   CHECK(all<AskReplicas>().size() == State.MostRounds);
@@ -80,9 +81,9 @@
 TEST_CASE_FIXTURE(ConfirmationFixture,
                   "write, replica with a longer log of an older term, is not "
                   "confirmed") {
-  // A replica fenced into the term still has an unconfirmed tail of the term
-  // before: it has the length, and not the write. Acknowledged on its word,
-  // the write would be lost with the primary.
+  // A replica fenced into the term still has an unconfirmed tail of the
+  // previous term: its log is long enough but lacks the write. If that counted,
+  // an acknowledged write would be lost with the primary.
   auto it = commit({Current, 7});
   replica(lastRound(), {Current - 1, 9});
   replica(lastRound(), {Current - 1, 7});
@@ -92,8 +93,8 @@
 TEST_CASE_FIXTURE(ConfirmationFixture,
                   "write, primary fenced after the replica's answer, is not "
                   "confirmed") {
-  // The replica's answer travels while a higher term is accepted; the old
-  // primary must not acknowledge any more.
+  // A higher term is accepted while the replica's answer is in transit; the old
+  // primary must no longer acknowledge.
   auto it = commit({Current, 7});
   replica(lastRound(), {Current, 7});
   primary(lastRound(), false, Current + 1);
@@ -101,15 +102,15 @@
 }
 
 TEST_CASE_FIXTURE(ConfirmationFixture,
-                  "write, held only after the primary was asked, waits for "
-                  "another answer of it") {
-  // One round serves two writes, and the replicas hold them one by one. The
-  // second is found after the primary was asked, so it is asked again.
+                  "write, found on a replica only after the primary was "
+                  "queried, waits for a second query") {
+  // One round serves two writes, and the replicas report them one by one. The
+  // second is found after the primary was queried, so it is queried again.
   State.MostRounds = 0;
   auto first = commit({Current, 7});
   auto second = commit({Current, 8});
   State.MostRounds = 1;
-  take(onConfirmTick(State, Clock.now()));
+  record(onConfirmTick(State, Clock.now()));
   replica(lastRound(), {Current, 7});
   replica(lastRound(), {Current, 8});
   primary(lastRound());
@@ -120,15 +121,14 @@
 }
 
 TEST_CASE_FIXTURE(ConfirmationFixture,
-                  "write, nobody answers, is given up at its limit and not "
-                  "later") {
+                  "write, no replica answers, fails exactly at its deadline") {
   auto it = commit({Current, 7}, milliseconds(50));
   auto round = lastRound();
   Clock.advance(milliseconds(49));
-  take(onConfirmTick(State, Clock.now()));
+  record(onConfirmTick(State, Clock.now()));
   CHECK_FALSE(answer(it));
   Clock.advance(milliseconds(1));
-  take(onConfirmTick(State, Clock.now()));
+  record(onConfirmTick(State, Clock.now()));
   CHECK(answer(it) == false);
   replica(round, {Current, 7});
   primary(round);
@@ -141,7 +141,7 @@
   auto old = commit({Current - 1, 9});
   auto fresh = commit({Current, 7});
   State.MostRounds = 1;
-  take(onConfirmTick(State, Clock.now()));
+  record(onConfirmTick(State, Clock.now()));
   CHECK(answer(old) == false);
   replica(lastRound(), {Current, 7});
   primary(lastRound());
--- a/tests/failover/group_view_test.cpp
+++ b/tests/failover/group_view_test.cpp
@@ -8,10 +8,10 @@
 
 TEST_CASE("group view, encoded and decoded, is the same") {
   GroupViewAnswer it{DatabaseName("orders"), VmName("vm-1"), {}, {}};
-  auto &sight = it.Seen[TargetName("t1")];
-  sight.Reachable = true;
-  sight.Report = {7, true, {6, 42}, {}, false};
-  sight.Age = std::chrono::milliseconds(150);
+  auto &observation = it.Seen[TargetName("t1")];
+  observation.Reachable = true;
+  observation.Report = {7, true, {6, 42}, {}, false};
+  observation.Age = std::chrono::milliseconds(150);
   auto back = decodeGroupViewAnswer(encode(it));
   REQUIRE(back);
   CHECK(back.value() == it);
@@ -26,15 +26,15 @@
   CHECK(request.value().ObjectVersion == 8);
 }
 
-// Guards against terms that are read from an object that is damaged.
-TEST_CASE("group view, object whose terms fall, is refused") {
+// Guards against using terms from a damaged object.
+TEST_CASE("group view, object without ascending terms, is rejected") {
   GroupObject object{"id-1", 7, TargetName("t1"), {{8, TargetName("t2")}}};
   object.Successors.push_back({8, TargetName("t3")});
   GroupViewAnswer it{DatabaseName("orders"), VmName("vm-1"), {}, {{9, object}}};
   CHECK_FALSE(decodeGroupViewAnswer(encode(it)));
 }
 
-TEST_CASE("group view, bytes of another protocol, is refused") {
+TEST_CASE("group view, bytes of another protocol, is rejected") {
   CHECK_FALSE(decodeGroupViewAnswer("\xff\xff\xff"));
   CHECK_FALSE(decodeGroupViewRequest("\xff\xff\xff"));
 }
--- a/tests/failover/simulation.h
+++ b/tests/failover/simulation.h
@@ -1,6 +1,6 @@
 /// \file
-/// Three targets, their owners and the platform as small fakes in virtual
-/// time, around the state machine of the change of primary.
+/// Simulates three targets, their owners and the platform in virtual time, with
+/// the real failover state machine at each owner.
 
 #ifndef PERIDOTFALL_TESTS_FAILOVER_SIMULATION_H
 #define PERIDOTFALL_TESTS_FAILOVER_SIMULATION_H
@@ -24,8 +24,8 @@
 inline constexpr std::size_t Domains = 3;
 inline constexpr std::size_t PlatformPlace = Domains;
 
-/// One-way delays of a deployment: between failure domains of a region, to
-/// the third one, and to clients.
+/// One-way delays of a deployment: between the failure domains of one region,
+/// to the failure domain in the other region, and to clients.
 struct Delays {
   microseconds Domain;
   microseconds Region;
@@ -43,7 +43,7 @@
   bool Alive = true;
   TimePoint FrozenUntil;
   TargetReport Report;
-  std::vector<std::pair<Term, std::uint64_t>> Log; ///< Term and write.
+  std::vector<std::pair<Term, std::uint64_t>> Log; ///< Term and write's id.
 };
 
 struct SimOwner {
@@ -65,7 +65,7 @@
 public:
   explicit Simulation(std::uint64_t seed, Delays delays = Lendleht,
                       Timings limits = {})
-      : Wires(delays), Random(seed) {
+      : LinkDelays(delays), Random(seed) {
     std::vector<OwnedTarget> owned;
     for (std::size_t n = 0; n < Domains; ++n)
       owned.push_back({TargetName("t" + std::to_string(n)),
@@ -99,7 +99,7 @@
     }
     Now = end;
   }
-  /// \return whether it came true within the span.
+  /// \return whether the condition became true within the span.
   bool runUntil(const std::function<bool()> &done, Duration span) {
     for (auto end = Now + span; Now < end && !done();)
       runFor(milliseconds(1));
@@ -107,17 +107,18 @@
   }
 
   Duration delay(std::size_t a, std::size_t b) {
-    a = a == PlatformPlace ? 0 : a; // The store stands in the first region.
+    a = a == PlatformPlace ? 0 : a; // The store is in the first region.
     b = b == PlatformPlace ? 0 : b;
     if (a == b)
       return microseconds(100);
-    auto it = a == 2 || b == 2 ? Wires.Region : Wires.Domain;
+    auto it = a == 2 || b == 2 ? LinkDelays.Region : LinkDelays.Domain;
     return it + it * below(20) / 100; // 20% jitter.
   }
-  bool cut(std::size_t a, std::size_t b) const {
-    return Cuts[a][b] || Cuts[b][a];
+  bool isCut(std::size_t a, std::size_t b) const {
+    return CutLinks[a][b] || CutLinks[b][a];
   }
-  /// The target that leads in the highest term, if a majority is in it.
+  /// \return a live primary whose term a majority of live targets share;
+  /// Domains if there is none.
   std::size_t leader() const {
     for (std::size_t n = 0; n < Domains; ++n) {
       auto term = Targets[n].Report.CurrentTerm;
@@ -130,7 +131,8 @@
     return Domains;
   }
 
-  /// At a target that believes it leads.
+  /// \return whether the target, which must consider itself the primary,
+  /// accepted the write.
   bool write(std::size_t n, std::uint64_t id) {
     auto &it = Targets[n];
     if (!it.Alive || !it.Report.IsPrimary || isFrozen(it))
@@ -143,14 +145,14 @@
   std::array<SimTarget, Domains> Targets;
   std::array<SimOwner, Domains> Owners;
   SimPlatform Platform;
-  std::array<std::array<bool, Domains + 1>, Domains + 1> Cuts{};
-  /// All actions, in order, with the owner that gave them.
+  std::array<std::array<bool, Domains + 1>, Domains + 1> CutLinks{};
+  /// All actions but probes and queries to peers, in order, with their owner.
   std::vector<std::pair<std::size_t, Action>> History;
   unsigned Promotions = 0;
-  Duration ShipLag{}; ///< Of the log, beside the wire's delay.
-  /// Each term that was led, and by whom: never two.
-  std::map<Term, TargetName> Led;
-  bool TwoLedOneTerm = false;
+  Duration ReplicationLag{}; ///< In addition to the link's delay.
+  /// The last target promoted in each term.
+  std::map<Term, TargetName> PrimaryOfTerm;
+  bool TwoPrimariesInTerm = false;
 
   void perform(std::size_t n, const Actions &actions) {
     for (const auto &it : actions) {
@@ -176,7 +178,7 @@
     after(Tick, [this, n] { tick(n); });
   }
 
-  /// Runs at the owner, once it is awake.
+  /// Runs the handler at the owner as soon as that is not frozen.
   void deliver(std::size_t n, std::function<Actions(GroupState &)> handler) {
     auto &it = Owners[n];
     if (!it.Alive)
@@ -195,7 +197,8 @@
     return n;
   }
 
-  /// A control call; \p done with the report, or nothing, and whether refused.
+  /// A control call to a target.
+  /// \param done receives the report, if any, and whether the call was refused.
   void call(std::size_t n, std::size_t target,
             std::function<bool(SimTarget &)> effect, Handler done) {
     auto answered = std::make_shared<bool>(false);
@@ -205,7 +208,7 @@
         done(report, refused);
     };
     after(ProbeLimit, [finish] { finish(std::nullopt, false); });
-    if (!cut(n, target))
+    if (!isCut(n, target))
       after(delay(n, target), [=, this] { arrive(n, target, effect, finish); });
   }
   void arrive(std::size_t n, std::size_t target,
@@ -221,12 +224,12 @@
       after(delay(n, target), [finish] { finish(std::nullopt, false); });
       return;
     }
-    bool taken = effect(it);
+    bool accepted = effect(it);
     it.Report.Last = {it.Log.back().first, it.Log.size()};
     auto report = it.Report;
-    if (!cut(n, target))
+    if (!isCut(n, target))
       after(delay(n, target),
-            [finish, report, taken] { finish(report, !taken); });
+            [finish, report, accepted] { finish(report, !accepted); });
   }
 
   static StepOutcome outcomeOf(const std::optional<TargetReport> &report,
@@ -250,18 +253,18 @@
     std::size_t peer = 0;
     while (Owners[peer].Vm != it.Vm)
       ++peer;
-    if (cut(n, peer))
+    if (isCut(n, peer))
       return;
     after(delay(n, peer), [=, this] {
       deliver(peer, [=, this](GroupState &group) {
         auto seen = sightsOf(group, Now);
         auto object = newerObject(group, it.Version);
-        if (!cut(n, peer))
+        if (!isCut(n, peer))
           after(delay(n, peer), [=, this] {
-            deliver(n, [=, this](GroupState &asking) {
+            deliver(n, [=, this](GroupState &requester) {
               if (object)
-                onPeerObject(asking, *object, Now);
-              return onPeerView(asking, it.Vm, seen, Now);
+                onPeerObject(requester, *object, Now);
+              return onPeerView(requester, it.Vm, seen, Now);
             });
           });
         return Actions{};
@@ -306,7 +309,7 @@
             return false;
           accept(target, it.InTerm);
           report.Following = it.Primary;
-          ship(indexOf(it.Primary), indexOf(target.Name));
+          replicate(indexOf(it.Primary), indexOf(target.Name));
           return true;
         },
         [=, this](const std::optional<TargetReport> &report, bool) {
@@ -317,7 +320,7 @@
         });
   }
   void perform(std::size_t n, const GetObject &) {
-    if (Platform.Down || cut(n, PlatformPlace)) {
+    if (Platform.Down || isCut(n, PlatformPlace)) {
       after(milliseconds(2'000), [=, this] {
         deliver(n, [=, this](GroupState &group) {
           return onObjectUnavailable(group, Now);
@@ -335,9 +338,9 @@
   void perform(std::size_t n, const PutObject &it) {
     auto outcome = StepOutcome::Unknown;
     Duration wait = milliseconds(2'000);
-    if (!Platform.Down && !cut(n, PlatformPlace)) {
-      bool taken = it.Expected == Platform.Version;
-      if (taken) {
+    if (!Platform.Down && !isCut(n, PlatformPlace)) {
+      bool accepted = it.Expected == Platform.Version;
+      if (accepted) {
         Platform.Object = it.Value;
         ++Platform.Version;
         ++Platform.Writes;
@@ -345,7 +348,7 @@
       if (Platform.LoseAnswers > 0)
         --Platform.LoseAnswers;
       else {
-        outcome = taken ? StepOutcome::Done : StepOutcome::Refused;
+        outcome = accepted ? StepOutcome::Done : StepOutcome::Refused;
         wait = delay(n, PlatformPlace) * 2;
       }
     }
@@ -365,9 +368,9 @@
   bool promote(SimTarget &target, Term term) {
     if (term != target.Report.CurrentTerm)
       return false;
-    auto &led = Led[term];
-    TwoLedOneTerm |= !led.empty() && led != target.Name;
-    led = target.Name;
+    auto &primary = PrimaryOfTerm[term];
+    TwoPrimariesInTerm |= !primary.empty() && primary != target.Name;
+    primary = target.Name;
     if (!target.Report.IsPrimary) {
       ++Promotions;
       target.Report.IsPrimary = true;
@@ -381,14 +384,14 @@
     it.Report.Last = {it.Report.CurrentTerm, it.Log.size()};
     for (std::size_t to = 0; to < Domains; ++to)
       if (to != n)
-        ship(n, to);
+        replicate(n, to);
   }
-  /// Copies the log as it is when it leaves.
-  void ship(std::size_t from, std::size_t to) {
+  /// Replicates the log as it is at the time of sending.
+  void replicate(std::size_t from, std::size_t to) {
     const auto &source = Targets[from];
-    if (!source.Report.IsPrimary || cut(from, to))
+    if (!source.Report.IsPrimary || isCut(from, to))
       return;
-    after(ShipLag + delay(from, to),
+    after(ReplicationLag + delay(from, to),
           [=, this, log = source.Log, term = source.Report.CurrentTerm] {
             auto &it = Targets[to];
             if (!it.Alive || isFrozen(it) || it.Report.CurrentTerm != term ||
@@ -401,7 +404,7 @@
           });
   }
 
-  Delays Wires;
+  Delays LinkDelays;
   std::mt19937_64 Random;
   TimePoint Now{std::chrono::hours(1)};
   std::uint64_t Scheduled = 0;
--- a/tests/proof/coordinator.h
+++ b/tests/proof/coordinator.h
@@ -45,7 +45,7 @@
   void reset() { Group.reset(); }
   NodeId node() const { return Self; }
   bool observes() const { return Group.has_value(); }
-  bool leads() const { return Group && Group->Running; }
+  bool leads() const { return Group && Group->RunningCampaign; }
 
 private:
   void perform(const failover::Actions &actions);
