--- a/src/proxy/environment.cpp
+++ b/src/proxy/environment.cpp
@@ -20,7 +20,7 @@
   return it;
 }
 
-/// A value can be changed and not taken back, other than by a reset.
+/// The protocol can't unset a single value; only a reset removes it.
 bool needsReset(const Values &have, const Values &want) {
   return std::any_of(have.begin(), have.end(),
                      [&](const auto &it) { return !want.contains(it.first); });
@@ -48,7 +48,7 @@
     have.Set[name] = value;
   }
   for (const auto &it : needed)
-    if (have.Known.insert(it).second)
+    if (have.PreparedStatements.insert(it).second)
       out.push_back(prepareStatement(it));
   return out;
 }
--- a/src/proxy/environment.h
+++ b/src/proxy/environment.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a session has set and prepared, and how a target connection that
-/// served others is brought to it.
+/// Values and prepared statements of sessions, and the set-up of shared target
+/// connections.
 
 #ifndef PERIDOTFALL_PROXY_ENVIRONMENT_H
 #define PERIDOTFALL_PROXY_ENVIRONMENT_H
@@ -16,11 +16,12 @@
 
 using Values = std::map<std::string, std::string>;
 
-/// Values set and statements prepared on one target connection. Prepared
-/// names there are made from what they run, so that sessions share them.
+/// Values and prepared statements that exist on one target connection. The name
+/// of a prepared statement there is derived from its body, so that sessions
+/// share it.
 struct ConnectionEnvironment {
   Values Set;
-  std::set<Prepared> Known;
+  std::set<Prepared> PreparedStatements;
 
   auto operator<=>(const ConnectionEnvironment &) const = default;
 };
@@ -28,14 +29,15 @@
 /// \return the name of a prepared statement on target connections.
 std::string sharedName(const Prepared &it);
 
-/// Brings a connection to a session's values, and makes the prepared
-/// statements of a batch known there.
-/// \param have is changed to what holds after the returned statements.
+/// Plans the statements that give a connection the session's values and prepare
+/// what a batch needs.
+/// \param have is updated to the state after the returned statements.
 std::vector<Statement> planSetup(ConnectionEnvironment &have,
                                  const Values &want,
                                  const std::vector<Prepared> &needed);
 
-/// \return how many values differ; the connection that costs least serves.
+/// \return how many values differ. The connection with the lowest number is
+/// used.
 std::size_t distance(const Values &have, const Values &want);
 
 } // namespace peridotfall::proxy
--- a/src/proxy/paths.cpp
+++ b/src/proxy/paths.cpp
@@ -9,18 +9,18 @@
   auto planned = static_cast<std::size_t>(static_cast<double>(connections) *
                                           limits::PlannedShare);
   auto running = slots * limits::RunningPerSlot;
-  auto most = std::min(planned / limits::ConnectionsPerHolder,
-                       running / limits::LeastRunning);
+  auto maxHolders = std::min(planned / limits::ConnectionsPerHolder,
+                             running / limits::MinRunningPerHolder);
   HolderPlan out;
   out.Holders =
-      std::clamp<std::size_t>(most, 1, std::max<std::size_t>(daemons, 1));
+      std::clamp<std::size_t>(maxHolders, 1, std::max<std::size_t>(daemons, 1));
   out.Connections = std::max<std::size_t>(planned / out.Holders, 1);
-  out.Running = std::max(running / out.Holders, limits::LeastRunning);
+  out.Running = std::max(running / out.Holders, limits::MinRunningPerHolder);
   return out;
 }
 
 void Paths::setHolders(const std::vector<VmName> &holders) {
-  std::map<VmName, Path> next;
+  std::map<VmName, PathState> next;
   for (const auto &it : holders)
     next[it] = States[it];
   States = std::move(next);
@@ -29,23 +29,23 @@
 
 std::optional<VmName> Paths::choose(const VmName &self, bool selfFree) const {
   std::optional<VmName> best;
-  std::size_t least = 0;
-  std::optional<VmName> reserve;
+  std::size_t fewest = 0;
+  std::optional<VmName> failedPath;
   for (const auto &name : Holders) {
     const auto &it = States.at(name);
     if (it.FailingSince) {
-      if (!reserve)
-        reserve = name;
+      if (!failedPath)
+        failedPath = name;
       continue;
     }
     if (name == self && selfFree)
       return name;
-    if (!best || it.Outstanding < least) {
+    if (!best || it.Outstanding < fewest) {
       best = name;
-      least = it.Outstanding;
+      fewest = it.Outstanding;
     }
   }
-  return best ? best : reserve;
+  return best ? best : failedPath;
 }
 
 void Paths::started(const VmName &by) {
@@ -63,7 +63,7 @@
     it.FailingSince.reset();
   else if (!it.FailingSince) {
     it.FailingSince = now;
-    it.NextProbe = now + limits::PathProbe;
+    it.NextProbe = now + limits::PathProbeInterval;
   }
 }
 
@@ -78,7 +78,7 @@
   for (auto &[name, it] : States) {
     if (!it.FailingSince || now < it.NextProbe)
       continue;
-    it.NextProbe = now + limits::PathProbe;
+    it.NextProbe = now + limits::PathProbeInterval;
     out.push_back(name);
   }
   return out;
--- a/src/proxy/paths.h
+++ b/src/proxy/paths.h
@@ -1,6 +1,7 @@
 /// \file
-/// By which daemon a target is reached. A target takes few connections, so a
-/// few daemons hold them and run statements for the others.
+/// Chooses the daemon through which a target is reached. A target accepts few
+/// connections, so a few daemons (its connection holders) have them and run
+/// statements for the others. The path via a holder is healthy or failed.
 
 #ifndef PERIDOTFALL_PROXY_PATHS_H
 #define PERIDOTFALL_PROXY_PATHS_H
@@ -18,74 +19,75 @@
 
 namespace limits {
 
-/// Connections that each holder of a target's connections should have. Load:
-/// transactions that pause, each on a connection of its own. Harm of fewer: a
-/// holder with one or two makes a statement wait behind a pause while another
-/// holder's connections are idle. Harm of more: too few holders, so that the
-/// loss of one takes most of the target's connections for three seconds.
+/// Connections that each holder of a target should have. With one or two,
+/// statements wait behind a transaction that pauses on its connection while
+/// another holder's connections are idle. With many, there are too few holders,
+/// and the loss of one takes most of the target's connections for three
+/// seconds.
 inline constexpr std::size_t ConnectionsPerHolder = 5;
-/// Share of a target's connections that the daemons open by plan; the rest
-/// is for those whose list of daemons is older.
+/// Share of a target's connections that the plan hands out; the rest is for
+/// daemons that use an older member list.
 inline constexpr double PlannedShare = 0.95;
-/// Statements sent to a target at once for each of its slots, over all
-/// holders. Load: a target that has more to do than it can. Harm of more: it
-/// refuses what is beyond its queue, orders and lookups alike, and all waits
-/// where no priority counts. Reason: six statements a slot keep it busy over
-/// any round trip and wait for five statements' time at the most.
+/// Statements sent to a target at once per slot, over all holders. An
+/// overloaded target refuses what is beyond its queue, orders and lookups
+/// alike, and its queue knows no priorities. Six statements per slot keep it
+/// busy over any round trip, and none waits there for longer than five
+/// statements' time.
 inline constexpr std::size_t RunningPerSlot = 6;
-/// The same at the least for one holder: with fewer a single busy VM could not
-/// fill the target's slots. So holders are no more than the slots allow: as
-/// many as the connections allow would each send their least at once, and the
-/// target would refuse what is beyond its queue.
-inline constexpr std::size_t LeastRunning = 3;
-/// Between two probes of a path that failed.
-inline constexpr std::chrono::milliseconds PathProbe{250};
+/// Minimum of such statements for one holder; with fewer a single busy VM
+/// couldn't use all of the target's slots. It also bounds the number of holders
+/// by the slots: as many holders as the connections allow would each send this
+/// minimum at once, and the target would refuse what is beyond its queue.
+inline constexpr std::size_t MinRunningPerHolder = 3;
+/// Interval between probes of a failed path.
+inline constexpr std::chrono::milliseconds PathProbeInterval{250};
 
 } // namespace limits
 
-/// How the daemons share a target's connections and slots.
+/// How daemons share a target's connections and slots.
 struct HolderPlan {
-  std::size_t Holders = 1;     ///< Daemons that hold connections.
-  std::size_t Connections = 1; ///< Of each.
-  std::size_t Running = 1;     ///< Statements that each sends at once.
+  std::size_t Holders = 1;     ///< Daemons that have connections.
+  std::size_t Connections = 1; ///< Of each holder.
+  std::size_t Running = 1;     ///< Statements that each holder sends at once.
 
   auto operator<=>(const HolderPlan &) const = default;
 };
 
-/// \param connections that the target takes. \param slots of the target.
+/// \param connections that the target accepts.
+/// \param slots of the target.
 HolderPlan planHolders(std::size_t connections, std::size_t slots,
                        std::size_t daemons);
 
-/// The paths to one target. Not synchronised.
+/// The paths to one target, one per connection holder. Not synchronised.
 class Paths {
 public:
-  /// \param holders in the order of their ranks; paths that stay keep their
-  /// record.
+  /// \param holders by rank. Holders that stay keep their state.
   void setHolders(const std::vector<VmName> &holders);
   const std::vector<VmName> &holders() const { return Holders; }
 
-  /// \param self is preferred when it is a holder and \p selfFree.
-  /// \return the path to use; one that failed only when all have.
+  /// \param self is preferred if it is a holder and \p selfFree.
+  /// \return the holder to use. A failed path is used only if all have failed.
   std::optional<VmName> choose(const VmName &self, bool selfFree) const;
   void started(const VmName &by);
-  /// \param failed the path, by the target's fault or the daemon's.
+  /// \param failed whether the path failed, due to the target or the holder.
   void ended(const VmName &by, bool failed, TimePoint now);
-  /// What was started was given up; it tells nothing of the path.
+  /// The work was abandoned; this says nothing about the path.
   void dropped(const VmName &by);
-  /// \return the paths that failed and are to be tried again now.
+  /// \return the failed paths that are due for a probe, and schedules their
+  /// next one.
   std::vector<VmName> probesDue(TimePoint now);
-  /// \return since when every path has failed; nothing: one has not.
+  /// \return since when all paths have failed; nothing if one is healthy.
   std::optional<TimePoint> unreachableSince() const;
 
 private:
-  struct Path {
+  struct PathState {
     std::optional<TimePoint> FailingSince;
     TimePoint NextProbe{};
     std::size_t Outstanding = 0;
   };
 
   std::vector<VmName> Holders;
-  std::map<VmName, Path> States;
+  std::map<VmName, PathState> States;
 };
 
 } // namespace peridotfall::proxy
--- a/src/proxy/session_units.cpp
+++ b/src/proxy/session_units.cpp
@@ -1,4 +1,4 @@
-// How a caller's statement is placed, run and tried again.
+// Chooses a target for each caller's statement, runs it there and retries it.
 
 #include "proxy/sessions.h"
 
@@ -20,7 +20,7 @@
       static_cast<double>(Duration(whole).count()) * part));
 }
 
-/// Placement's word for an answer.
+/// \return the code by which placement classifies the result.
 AnswerCode codeOf(const BatchResult &result) {
   if (result.End == BatchEnd::NotRun)
     return AnswerCode::Busy;
@@ -45,51 +45,51 @@
 
 } // namespace
 
-void Sessions::beginUnit(Session &session, Statement it) {
+void Sessions::beginRun(Session &session, Statement it) {
   auto now = Time.now();
   bool inTransaction = session.State == TransactionState::Open;
-  if (inTransaction && session.Open.Gone) {
+  if (inTransaction && session.Open.ConnectionLost) {
     session.State = TransactionState::Failed;
     answerError(session, ErrorKind::Aborted,
                 "the transaction's connection was lost");
     return;
   }
-  Unit unit;
+  StatementRun run;
   if (inTransaction) {
-    unit.Served = session.Open.Served;
-    unit.Version = session.Open.Version;
+    run.AssignedRoute = session.Open.AssignedRoute;
+    run.Version = session.Open.Version;
   } else {
     auto route = Table.Routes.find(session.Database);
     if (route == Table.Routes.end()) {
       rejectRemoved(session, it);
       return;
     }
-    unit.Served = route->second;
-    unit.Version = Table.Version;
+    run.AssignedRoute = route->second;
+    run.Version = Table.Version;
   }
-  unit.Serial = ++LastSerial;
-  unit.Began = now;
-  unit.Until = now + unit.Served.StatementLimit;
-  unit.PrimaryOnly = unit.Served.Reads == Guarantee::Primary || writes(it) ||
-                     (inTransaction && !session.Open.ReadOnly);
-  unit.It = std::move(it);
-  session.Current = std::move(unit);
+  run.Serial = ++LastSerial;
+  run.StartedAt = now;
+  run.Deadline = now + run.AssignedRoute.StatementLimit;
+  run.PrimaryOnly = run.AssignedRoute.Reads == Guarantee::Primary ||
+                    writes(it) || (inTransaction && !session.Open.ReadOnly);
+  run.Request = std::move(it);
+  session.Current = std::move(run);
   if (inTransaction && session.Open.Lease.valid())
-    runHeld(session);
+    runOnLease(session);
   else
     place(session);
 }
 
 void Sessions::place(Session &session) {
-  auto &unit = *session.Current;
-  unit.Parked = false;
-  unit.RunAt.reset();
-  auto *group = Targets.use(unit.Served.Group);
+  auto &run = *session.Current;
+  run.Parked = false;
+  run.RunAt.reset();
+  auto *group = Targets.use(run.AssignedRoute.Group);
   if (!group || group->Targets.empty()) {
     park(session);
     return;
   }
-  if (unit.PrimaryOnly)
+  if (run.PrimaryOnly)
     placeAtPrimary(session, *group);
   else
     placeRead(session, *group);
@@ -97,124 +97,130 @@
 
 void Sessions::placeAtPrimary(Session &session, Group &group) {
   auto leader = Targets.writable(group);
-  // A primary that cannot be reached is waited for like one not known.
+  // An unreachable primary is handled like an unknown one: the statement waits.
   if (!leader || Targets.unreachableSince(*leader)) {
     park(session);
     return;
   }
-  sendFirst(session, *leader, true, std::nullopt);
+  sendFirstBatch(session, *leader, true, std::nullopt);
 }
 
+/// Sends a read to a replica whose log contains everything that the route's
+/// staleness bound and the session's own commits require, also when sessions
+/// move between replicas that lag. If no such position is known, the read goes
+/// to the primary, which proves its leadership instead.
 void Sessions::placeRead(Session &session, Group &group) {
-  auto &unit = *session.Current;
+  auto &run = *session.Current;
   auto now = Time.now();
-  const auto &route = unit.Served;
-  bool own = route.Reads == Guarantee::ReadYourWrites;
-  std::optional<Position> least;
-  if (own && route.MaxStaleness.count() == 0)
-    least = Position{};
+  const auto &route = run.AssignedRoute;
+  bool readYourWrites = route.Reads == Guarantee::ReadYourWrites;
+  std::optional<Position> notBefore;
+  if (readYourWrites && route.MaxStaleness.count() == 0)
+    notBefore = Position{};
   else
-    least = group.View.positionFor(route.MaxStaleness, now);
-  constexpr unsigned ReplicaTries = 2;
-  if (!least || unit.Tries > ReplicaTries) {
+    notBefore = group.View.positionFor(route.MaxStaleness, now);
+  constexpr unsigned MaxReplicaAttempts = 2;
+  if (!notBefore || run.Attempts > MaxReplicaAttempts) {
     placeAtPrimary(session, group);
     return;
   }
-  if (own)
-    least = std::max(*least, session.Own);
+  if (readYourWrites)
+    notBefore = std::max(*notBefore, session.LastCommit);
   ReadDemand demand;
-  demand.NotBefore = *least;
+  demand.NotBefore = *notBefore;
   demand.MaxAge = route.MaxStaleness;
-  demand.Avoid = unit.Avoid;
+  demand.Avoid = run.Avoid;
   auto choice =
       group.Reads.choose(demand, Targets.candidates(group), true, now);
   if (choice.Target.empty()) {
     placeAtPrimary(session, group);
     return;
   }
-  if (choice.WaitBefore > limits::NoWait) {
-    pause(unit, WaitPlace::Replica, now + choice.WaitBefore);
+  if (choice.WaitBefore > limits::NegligibleWait) {
+    pause(run, WaitPlace::Replica, now + choice.WaitBefore);
     return;
   }
-  sendFirst(session, choice.Target, false, least);
+  sendFirstBatch(session, choice.Target, false, notBefore);
 }
 
-std::optional<TimePoint> Sessions::goalOf(const Unit &unit) {
-  if (unit.Served.Goal.count() == 0)
+std::optional<TimePoint> Sessions::goalOf(const StatementRun &run) {
+  if (run.AssignedRoute.Goal.count() == 0)
     return std::nullopt;
-  return unit.Began + unit.Served.Goal;
+  return run.StartedAt + run.AssignedRoute.Goal;
 }
 
-TimePoint Sessions::primaryWaitEnd(const Unit &unit) {
-  return unit.Began +
-         share(unit.Served.StatementLimit, limits::PrimaryWaitShare);
+TimePoint Sessions::primaryWaitDeadline(const StatementRun &run) {
+  return run.StartedAt +
+         share(run.AssignedRoute.StatementLimit, limits::PrimaryWaitShare);
 }
 
 void Sessions::park(Session &session) {
-  auto &unit = *session.Current;
-  unit.Parked = true;
-  beginWait(unit, WaitPlace::Primary);
-  if (Time.now() >= primaryWaitEnd(unit))
+  auto &run = *session.Current;
+  run.Parked = true;
+  beginWait(run, WaitPlace::Primary);
+  if (Time.now() >= primaryWaitDeadline(run))
     refuse(session, limits::PrimaryRetryAfter, "no primary to run it");
 }
 
-void Sessions::pause(Unit &unit, WaitPlace place, TimePoint until) {
-  beginWait(unit, place);
-  unit.RunAt = until;
+void Sessions::pause(StatementRun &run, WaitPlace place, TimePoint until) {
+  beginWait(run, place);
+  run.RunAt = until;
 }
 
-void Sessions::beginWait(Unit &unit, WaitPlace place) {
-  if (unit.WaitsSince && unit.WaitsFor == place)
+void Sessions::beginWait(StatementRun &run, WaitPlace place) {
+  if (run.WaitingSince && run.WaitingFor == place)
     return;
-  endWait(unit);
-  unit.WaitsSince = Time.now();
-  unit.WaitsFor = place;
+  endWait(run);
+  run.WaitingSince = Time.now();
+  run.WaitingFor = place;
 }
 
-void Sessions::endWait(Unit &unit) {
-  if (unit.WaitsSince)
-    countWait(Counts, unit.WaitsFor, Time.now() - *unit.WaitsSince);
-  unit.WaitsSince.reset();
+void Sessions::endWait(StatementRun &run) {
+  if (run.WaitingSince)
+    countWait(Metrics, run.WaitingFor, Time.now() - *run.WaitingSince);
+  run.WaitingSince.reset();
 }
 
 void Sessions::countAnswers(const BatchResult &result) {
   for (const auto &it : result.Answers)
-    countAnswer(Counts, it.Error);
+    countAnswer(Metrics, it.Error);
   if (result.End == BatchEnd::Lost)
-    countNoAnswer(Counts);
+    countNoAnswer(Metrics);
 }
 
-Batch Sessions::composeFirst(const Session &session, bool atPrimary,
-                             std::optional<Position> notBefore) const {
-  const auto &unit = *session.Current;
+Batch Sessions::composeFirstBatch(const Session &session, bool atPrimary,
+                                  std::optional<Position> notBefore) const {
+  const auto &run = *session.Current;
   bool inTransaction = session.State == TransactionState::Open;
   Batch out;
   out.Session = session.Set;
-  if (unit.It.Kind == StatementKind::Execute)
-    out.Needs = {unit.It.Body};
-  bool proves = !inTransaction && atPrimary && reads(unit.It);
-  if (inTransaction || proves) {
+  if (run.Request.Kind == StatementKind::Execute)
+    out.Needs = {run.Request.Body};
+  bool provesLeadership = !inTransaction && atPrimary && reads(run.Request);
+  if (inTransaction || provesLeadership) {
     out.Statements = {ownStatement(atPrimary ? StatementKind::Begin
                                              : StatementKind::BeginRead)};
     if (!atPrimary)
       out.Statements[0].NotBefore = notBefore;
   }
-  // What is sent along with a beginning that fails runs by itself: a read of
-  // the transaction outside of it, a write that nobody commits. So it waits
-  // for the answer. A lone read may run so; its row is then dropped.
+  // If a Begin fails, the target executes the statements sent behind it outside
+  // of any transaction: a read that is not part of it, or a write that nobody
+  // commits. So the first statement of a transaction is sent after the answer
+  // to Begin. A single read may be sent along, as its rows are discarded if
+  // Begin fails.
   if (inTransaction)
     return out;
-  out.Statements.push_back(unit.It);
-  if (proves)
+  out.Statements.push_back(run.Request);
+  if (provesLeadership)
     out.Statements.push_back(ownStatement(StatementKind::Rollback));
-  else if (reads(unit.It))
+  else if (reads(run.Request))
     out.Statements[0].NotBefore = notBefore;
   out.EndsLease = true;
   return out;
 }
 
-/// The answer to a unit that has ended, or whose caller has gone, is dropped.
-OnBatch Sessions::guarded(const Session &session, UnitHandler then) {
+/// Ignores results for a statement that has ended or whose session is closed.
+OnBatch Sessions::ifStillCurrent(const Session &session, RunHandler then) {
   return [this, id = session.Id, serial = session.Current->Serial,
           then](const BatchResult &result) {
     auto *it = find(id);
@@ -223,214 +229,219 @@
   };
 }
 
-void Sessions::sendFirst(Session &session, const TargetName &target,
-                         bool atPrimary, std::optional<Position> notBefore) {
-  auto &unit = *session.Current;
+void Sessions::sendFirstBatch(Session &session, const TargetName &target,
+                              bool atPrimary,
+                              std::optional<Position> notBefore) {
+  auto &run = *session.Current;
   auto now = Time.now();
-  auto left = unit.Until - now;
-  if (left < limits::LeastTry) {
+  auto left = run.Deadline - now;
+  if (left < limits::MinAttemptTime) {
     refuse(session, limits::BusyRetryAfter, "no time left");
     return;
   }
-  auto batch = composeFirst(session, atPrimary, notBefore);
-  bool repeatable = !writes(unit.It);
-  auto patience = std::max<Duration>(
-      share(unit.Served.StatementLimit, limits::ReadPatienceShare),
-      limits::LeastReadPatience);
-  batch.Patience = repeatable ? std::min<Duration>(left, patience) : left;
-  // Load: all callers come back at once after an outage. A read that only the
-  // primary may run waits there as long as a write, and is late instead of
-  // refused three times in a moment.
+  auto batch = composeFirstBatch(session, atPrimary, notBefore);
+  bool repeatable = !writes(run.Request);
+  auto timeout = std::max<Duration>(
+      share(run.AssignedRoute.StatementLimit, limits::ReadTimeoutShare),
+      limits::MinReadTimeout);
+  batch.Patience = repeatable ? std::min<Duration>(left, timeout) : left;
+  // When all callers return at once after an outage, a read that only the
+  // primary can run waits as long as a write would. It is then answered late
+  // instead of being refused three times in quick succession.
   auto wait =
-      atPrimary ? primaryWaitEnd(unit) - now : Duration(limits::ReadWait);
-  endWait(unit);
-  ++unit.Tries;
-  unit.Target = target;
-  unit.Sent = batch;
-  unit.SentAt = now;
-  if (auto *group = Targets.find(unit.Served.Group))
+      atPrimary ? primaryWaitDeadline(run) - now : Duration(limits::ReadWait);
+  endWait(run);
+  ++run.Attempts;
+  run.Target = target;
+  run.Sent = batch;
+  run.SentAt = now;
+  if (auto *group = Targets.find(run.AssignedRoute.Group))
     group->Reads.started(target);
-  unit.Placed = true;
+  run.InFlight = true;
   LeaseRequest request;
   request.Target = target;
-  request.Priority = unit.Served.Priority;
+  request.Priority = run.AssignedRoute.Priority;
   request.Wait =
-      std::clamp<Duration>(wait, Duration{}, left - limits::LeastTry);
+      std::clamp<Duration>(wait, Duration{}, left - limits::MinAttemptTime);
   request.Total = left;
-  if (auto goal = goalOf(unit))
+  if (auto goal = goalOf(run))
     request.GoalLeft = *goal - now;
-  unit.Lease = Targets.begin(request, std::move(batch),
-                             guarded(session, &Sessions::onFirst));
+  run.Lease =
+      Targets.begin(request, std::move(batch),
+                    ifStillCurrent(session, &Sessions::handleFirstResult));
 }
 
 void Sessions::report(Session &session, Group &group,
                       const BatchResult &result) {
-  const auto &unit = *session.Current;
+  const auto &run = *session.Current;
   auto now = Time.now();
   countAnswers(result);
   AnswerReport report;
-  report.Target = unit.Target;
-  report.FromPrimary = isAtPrimary(unit);
+  report.Target = run.Target;
+  report.FromPrimary = isAtPrimary(run);
   report.Code = codeOf(result);
-  report.Mode = reads(unit.It) ? Access::FreshRead : Access::Write;
-  report.Ran = now - unit.SentAt;
+  report.Mode = reads(run.Request) ? Access::FreshRead : Access::Write;
+  report.Ran = now - run.SentAt;
   if (!result.Answers.empty() && result.Answers.back().At)
     report.At = *result.Answers.back().At;
-  if (!unit.Sent.Statements.empty() && unit.Sent.Statements[0].NotBefore)
-    report.NotBefore = *unit.Sent.Statements[0].NotBefore;
+  if (!run.Sent.Statements.empty() && run.Sent.Statements[0].NotBefore)
+    report.NotBefore = *run.Sent.Statements[0].NotBefore;
   auto replicas = group.Targets.empty() ? 0 : group.Targets.size() - 1;
   group.Reads.answered(report, replicas, now);
-  bool plain = unit.Sent.Statements[0].Kind == StatementKind::Begin;
-  Targets.learn(group, unit.Target, unit.Sent, result, plain, unit.SentAt);
+  bool plain = run.Sent.Statements[0].Kind == StatementKind::Begin;
+  Targets.learn(group, run.Target, run.Sent, result, plain, run.SentAt);
 }
 
-bool Sessions::isAtPrimary(const Unit &unit) const {
-  const auto *group = Targets.find(unit.Served.Group);
-  return group && group->View.leader() == unit.Target;
+bool Sessions::isAtPrimary(const StatementRun &run) const {
+  const auto *group = Targets.find(run.AssignedRoute.Group);
+  return group && group->View.leader() == run.Target;
 }
 
-void Sessions::onFirst(Session &session, const BatchResult &result) {
-  auto &unit = *session.Current;
-  unit.Placed = false;
-  if (auto *group = Targets.find(unit.Served.Group))
+void Sessions::handleFirstResult(Session &session, const BatchResult &result) {
+  auto &run = *session.Current;
+  run.InFlight = false;
+  if (auto *group = Targets.find(run.AssignedRoute.Group))
     report(session, *group, result);
   switch (result.End) {
   case BatchEnd::Whole:
-    onFirstWhole(session, result);
+    handleFirstAnswers(session, result);
     return;
   case BatchEnd::NotRun:
-    unit.Lease = {};
-    // Only the primary may run what came to it, and to wait on would leave the
-    // caller no time to come back.
-    if (result.QueueFull && isAtPrimary(unit))
+    run.Lease = {};
+    // Only the primary can run this statement, and waiting longer would leave
+    // the caller no time to retry.
+    if (result.QueueFull && isAtPrimary(run))
       refuse(session, limits::BusyRetryAfter, "more waits than runs in time");
     else
       retry(session, result.Why.Kind);
     return;
   case BatchEnd::Lost:
-    unit.Lease = {};
+    run.Lease = {};
     break;
   }
-  // Only a write that runs by itself may have left something.
-  if (!unit.Sent.EndsLease || !writes(unit.It))
+  // Only a write outside of a transaction may have taken effect.
+  if (!run.Sent.EndsLease || !writes(run.Request))
     retry(session, ErrorKind::TimedOut);
   else
-    giveUpLost(session, result.Why.Detail.c_str());
+    answerUnknownOutcome(session, result.Why.Detail.c_str());
 }
 
-void Sessions::onFirstWhole(Session &session, const BatchResult &result) {
-  auto &unit = *session.Current;
-  auto lease = result.Kept ? unit.Lease : LeaseId{};
-  bool ownFirst = unit.Sent.Statements[0].Id.empty();
+void Sessions::handleFirstAnswers(Session &session, const BatchResult &result) {
+  auto &run = *session.Current;
+  auto lease = result.Kept ? run.Lease : LeaseId{};
+  bool ownFirst = run.Sent.Statements[0].Id.empty();
   const auto &beginning = result.Answers[0];
   if (ownFirst && !beginning.ok()) {
-    dropLease(lease);
-    unit.Lease = {};
+    releaseLease(lease);
+    run.Lease = {};
     retry(session, beginning.Error->Kind);
     return;
   }
   bool onlyBegan = ownFirst && result.Answers.size() == 1;
   if (onlyBegan) {
     session.Open.Lease = lease;
-    session.Open.Target = unit.Target;
-    runHeld(session);
+    session.Open.Target = run.Target;
+    runOnLease(session);
     return;
   }
   auto answer = result.Answers[ownFirst ? 1 : 0];
-  bool again = answer.Error && (saysNotRun(answer.Error->Kind) ||
+  bool again = answer.Error && (hasNotRun(answer.Error->Kind) ||
                                 (answer.Error->Kind == ErrorKind::Failed &&
-                                 reads(unit.It) && unit.Tries == 1));
+                                 reads(run.Request) && run.Attempts == 1));
   if (again) {
-    dropLease(lease);
-    unit.Lease = {};
+    releaseLease(lease);
+    run.Lease = {};
     retry(session, answer.Error->Kind);
     return;
   }
   if (session.State == TransactionState::Open) {
     session.Open.Lease = lease;
-    session.Open.Target = unit.Target;
+    session.Open.Target = run.Target;
   } else {
     answer.State = TransactionState::Idle;
-    if (writes(unit.It) && answer.ok() && answer.At)
-      session.Own = std::max(session.Own, *answer.At);
+    if (writes(run.Request) && answer.ok() && answer.At)
+      session.LastCommit = std::max(session.LastCommit, *answer.At);
   }
-  if (reads(unit.It) && answer.ok())
-    countRead(unit, answer);
+  if (reads(run.Request) && answer.ok())
+    countRead(run, answer);
   deliver(session, std::move(answer));
 }
 
-void Sessions::countRead(const Unit &unit, const Answer &answer) {
-  auto *group = Targets.find(unit.Served.Group);
-  if (!unit.Sent.Statements[0].NotBefore)
-    Counts.PrimaryReads->Increment();
+void Sessions::countRead(const StatementRun &run, const Answer &answer) {
+  auto *group = Targets.find(run.AssignedRoute.Group);
+  if (!run.Sent.Statements[0].NotBefore)
+    Metrics.PrimaryReads->Increment();
   else if (group && answer.At)
-    countReplicaRead(Counts, group->View.ageOf(*answer.At, Time.now()));
+    countReplicaRead(Metrics, group->View.ageOf(*answer.At, Time.now()));
 }
 
-void Sessions::runHeld(Session &session) {
-  auto &unit = *session.Current;
+/// Runs the statement on the connection that its transaction holds.
+void Sessions::runOnLease(Session &session) {
+  auto &run = *session.Current;
   auto now = Time.now();
-  endWait(unit);
+  endWait(run);
   Batch batch;
   batch.Session = session.Set;
-  if (unit.It.Kind == StatementKind::Execute)
-    batch.Needs = {unit.It.Body};
-  batch.Statements = {unit.It};
-  batch.EndsLease = unit.It.Kind == StatementKind::Commit;
-  batch.Patience = std::max<Duration>(unit.Until - now, limits::LeastTry);
-  unit.RunAt.reset();
-  unit.Sent = batch;
-  unit.SentAt = now;
-  unit.Target = session.Open.Target;
-  unit.Lease = {};
+  if (run.Request.Kind == StatementKind::Execute)
+    batch.Needs = {run.Request.Body};
+  batch.Statements = {run.Request};
+  batch.EndsLease = run.Request.Kind == StatementKind::Commit;
+  batch.Patience =
+      std::max<Duration>(run.Deadline - now, limits::MinAttemptTime);
+  run.RunAt.reset();
+  run.Sent = batch;
+  run.SentAt = now;
+  run.Target = session.Open.Target;
+  run.Lease = {};
   Targets.run(session.Open.Lease, std::move(batch),
-              guarded(session, &Sessions::onHeld));
+              ifStillCurrent(session, &Sessions::handleLeaseResult));
 }
 
-void Sessions::onHeld(Session &session, const BatchResult &result) {
-  auto &unit = *session.Current;
+void Sessions::handleLeaseResult(Session &session, const BatchResult &result) {
+  auto &run = *session.Current;
   countAnswers(result);
-  bool plain =
-      !session.Open.ReadOnly || session.Open.Served.Reads == Guarantee::Primary;
-  if (auto *group = Targets.find(unit.Served.Group))
-    Targets.learn(*group, unit.Target, unit.Sent, result, plain, unit.SentAt);
+  bool plain = !session.Open.ReadOnly ||
+               session.Open.AssignedRoute.Reads == Guarantee::Primary;
+  if (auto *group = Targets.find(run.AssignedRoute.Group))
+    Targets.learn(*group, run.Target, run.Sent, result, plain, run.SentAt);
   if (result.End != BatchEnd::Whole) {
-    lostHeld(session, result);
+    handleLostLease(session, result);
     return;
   }
   auto answer = result.Answers[0];
   bool stillOpen = answer.State == TransactionState::Open;
   bool busy = answer.Error && answer.Error->Kind == ErrorKind::Busy;
-  auto again = Time.now() + limits::BusyPause;
+  auto again = Time.now() + limits::BusyRetryDelay;
   if (busy && stillOpen && result.Kept &&
-      again + limits::LeastTry < unit.Until) {
-    pause(unit, WaitPlace::Slot, again);
+      again + limits::MinAttemptTime < run.Deadline) {
+    pause(run, WaitPlace::Slot, again);
     return;
   }
-  if (unit.It.Kind == StatementKind::Commit) {
+  if (run.Request.Kind == StatementKind::Commit) {
     session.Open.Lease = {};
     if (answer.ok() && session.Open.Wrote && answer.At)
-      session.Own = std::max(session.Own, *answer.At);
+      session.LastCommit = std::max(session.LastCommit, *answer.At);
   } else if (answer.State == TransactionState::Idle) {
-    dropLease(session.Open.Lease);
+    releaseLease(session.Open.Lease);
     session.Open.Lease = {};
   }
-  if (writes(unit.It))
+  if (writes(run.Request))
     session.Open.Wrote = true;
   deliver(session, std::move(answer));
 }
 
-void Sessions::lostHeld(Session &session, const BatchResult &result) {
-  auto &unit = *session.Current;
+void Sessions::handleLostLease(Session &session, const BatchResult &result) {
+  auto &run = *session.Current;
   session.Open.Lease = {};
-  bool commit = unit.It.Kind == StatementKind::Commit;
-  telemetry::log(Event::TransactionLost, {field("request", unit.It.Id),
-                                          field("target", unit.Target.Value),
+  bool commit = run.Request.Kind == StatementKind::Commit;
+  telemetry::log(Event::TransactionLost, {field("request", run.Request.Id),
+                                          field("target", run.Target.Value),
                                           field("why", result.Why.Detail),
                                           field("commit_sent", commit)});
-  // Without a byte of the commit sent, the transaction was rolled back.
+  // If no byte of the commit was sent, the target has rolled the transaction
+  // back.
   if (commit && session.Open.Wrote && result.End == BatchEnd::Lost) {
-    giveUpLost(session, result.Why.Detail.c_str());
+    answerUnknownOutcome(session, result.Why.Detail.c_str());
     return;
   }
   session.State = commit ? TransactionState::Idle : TransactionState::Failed;
@@ -440,38 +451,40 @@
 }
 
 void Sessions::retry(Session &session, ErrorKind why) {
-  auto &unit = *session.Current;
+  auto &run = *session.Current;
   auto now = Time.now();
-  countRetry(Counts, nameOf(why));
+  countRetry(Metrics, nameOf(why));
   telemetry::log(Event::StatementRetried,
-                 {field("request", unit.It.Id),
-                  field("target", unit.Target.Value), field("why", nameOf(why)),
-                  field("tries", unit.Tries)});
-  unit.Avoid = unit.Target;
+                 {field("request", run.Request.Id),
+                  field("target", run.Target.Value), field("why", nameOf(why)),
+                  field("tries", run.Attempts)});
+  run.Avoid = run.Target;
   bool busy = why == ErrorKind::Busy || why == ErrorKind::ConnectionLimit;
-  if (busy && unit.PrimaryOnly) {
+  if (busy && run.PrimaryOnly) {
     retryBusy(session, now);
     return;
   }
-  if (now + limits::LeastTry >= unit.Until || unit.Tries >= limits::MostTries) {
+  if (now + limits::MinAttemptTime >= run.Deadline ||
+      run.Attempts >= limits::MaxAttempts) {
     refuse(session,
-           unit.PrimaryOnly ? limits::PrimaryRetryAfter
-                            : limits::BusyRetryAfter,
+           run.PrimaryOnly ? limits::PrimaryRetryAfter : limits::BusyRetryAfter,
            nameOf(why));
     return;
   }
   place(session);
 }
 
-/// Load: a primary with more to do than it can. There is no other place for
-/// the statement, so it is tried there while it has time to run, with pauses
-/// that grow so that the tries are not a load of their own.
+/// An overloaded primary rejects statements as busy, and no other target can
+/// run them. They are retried there while there is time left to run, with
+/// increasing delays so that the retries don't add to the overload.
 void Sessions::retryBusy(Session &session, TimePoint now) {
-  auto &unit = *session.Current;
-  auto span = std::min(limits::BusyPause * unit.Tries, limits::MostBusyPause);
-  if (now + span >= primaryWaitEnd(unit))
+  auto &run = *session.Current;
+  auto span = std::min(limits::BusyRetryDelay * run.Attempts,
+                       limits::MaxBusyRetryDelay);
+  if (now + span >= primaryWaitDeadline(run))
     refuse(session, limits::BusyRetryAfter, nameOf(ErrorKind::Busy));
   else
-    pause(unit, WaitPlace::Slot, now + span);
+    pause(run, WaitPlace::Slot, now + span);
 }
+
 } // namespace peridotfall::proxy
--- a/src/proxy/sessions.cpp
+++ b/src/proxy/sessions.cpp
@@ -15,11 +15,11 @@
 
 Sessions::Sessions(Groups &groups, CallerPort &port, ProxyMetrics &metrics,
                    const Clock &clock)
-    : Targets(groups), Port(port), Counts(metrics), Time(clock),
+    : Targets(groups), Port(port), Metrics(metrics), Time(clock),
       RoutesConfirmedAt(clock.now()) {
   Targets.OnLeader = [this](const GroupName &group) { resume(group); };
   Targets.OnWaited = [this](Duration waited) {
-    countWait(Counts, WaitPlace::Connection, waited);
+    countWait(Metrics, WaitPlace::Connection, waited);
   };
 }
 
@@ -29,18 +29,18 @@
 }
 
 bool Sessions::takeRoutes(const RoutingTable &table) {
-  // A list that was read late must not take a version back: sessions would be
-  // routed by what an operator has replaced.
+  // A list may be read late. Going back to an older version would route
+  // sessions by a configuration that an operator has replaced.
   if (table.Version <= Table.Version)
     return false;
   Table = table;
   std::vector<CallerId> waiting;
   for (const auto &[id, it] : All)
-    if (!it.Greeted)
+    if (!it.HandshakeDone)
       waiting.push_back(id);
   for (auto id : waiting)
     if (auto *it = find(id))
-      greet(*it);
+      acceptOrReject(*it);
   return true;
 }
 
@@ -48,13 +48,13 @@
   auto &it = All[caller];
   it.Id = caller;
   it.Database = database;
-  it.Active = Time.now();
-  // Without a configuration no database can be said not to exist.
+  it.LastActive = Time.now();
+  // Until a configuration is known, a database can't be reported as missing.
   if (Table.Version != 0)
-    greet(it);
+    acceptOrReject(it);
 }
 
-void Sessions::greet(Session &session) {
+void Sessions::acceptOrReject(Session &session) {
   auto id = session.Id;
   if (!Table.Routes.contains(session.Database)) {
     telemetry::log(Event::SessionRejected,
@@ -65,7 +65,7 @@
     Port.reject(id, {ErrorKind::NoDatabase, "no route has this name"});
     return;
   }
-  session.Greeted = true;
+  session.HandshakeDone = true;
   Port.greet(id);
   advance(session);
 }
@@ -74,8 +74,8 @@
   auto *session = find(caller);
   if (!session)
     return;
-  session->Active = Time.now();
-  if (session->Inbox.size() >= limits::MostPipelined) {
+  session->LastActive = Time.now();
+  if (session->Inbox.size() >= limits::MaxPipelinedStatements) {
     closed(caller);
     Port.close(caller);
     return;
@@ -91,17 +91,17 @@
   auto session = std::move(it->second);
   All.erase(it);
   if (session.Current) {
-    const auto &unit = *session.Current;
-    auto *group = Targets.find(unit.Served.Group);
-    if (unit.Placed && group)
-      group->Reads.dropped(unit.Target);
-    dropLease(unit.Lease);
+    const auto &run = *session.Current;
+    auto *group = Targets.find(run.AssignedRoute.Group);
+    if (run.InFlight && group)
+      group->Reads.dropped(run.Target);
+    releaseLease(run.Lease);
   }
   if (session.State != TransactionState::Idle)
-    dropLease(session.Open.Lease);
+    releaseLease(session.Open.Lease);
 }
 
-void Sessions::dropLease(LeaseId lease) {
+void Sessions::releaseLease(LeaseId lease) {
   if (lease.valid())
     Targets.abandon(lease);
 }
@@ -109,7 +109,7 @@
 void Sessions::advance(Session &session) {
   auto id = session.Id;
   auto *it = &session;
-  while (it && it->Greeted && !it->Current && !it->Inbox.empty()) {
+  while (it && it->HandshakeDone && !it->Current && !it->Inbox.empty()) {
     auto next = std::move(it->Inbox.front());
     it->Inbox.pop_front();
     handle(*it, std::move(next));
@@ -126,7 +126,7 @@
       return;
     }
     bool commit = it.Kind == StatementKind::Commit;
-    dropLease(session.Open.Lease);
+    releaseLease(session.Open.Lease);
     session.Open = {};
     session.State = TransactionState::Idle;
     if (commit)
@@ -149,11 +149,11 @@
     answerError(session, ErrorKind::NoStatement, it.Name);
     return;
   }
-  beginUnit(session, std::move(it));
+  beginRun(session, std::move(it));
 }
 
-/// What only changes the session is answered here, and done at a target when
-/// a statement needs it there.
+/// Statements that only change the session's state are answered here. The state
+/// is set up on a target connection once a statement needs it there.
 void Sessions::handleLocal(Session &session, const Statement &it) {
   switch (it.Kind) {
   case StatementKind::Begin:
@@ -178,8 +178,8 @@
 }
 
 bool Sessions::resolve(Session &session, Statement &it) {
-  auto known = session.Names.find(it.Name);
-  if (known == session.Names.end())
+  auto known = session.PreparedStatements.find(it.Name);
+  if (known == session.PreparedStatements.end())
     return false;
   it.Body = known->second;
   it.Name = sharedName(it.Body);
@@ -198,21 +198,21 @@
   }
   session.Open = {};
   session.Open.ReadOnly = it.Kind == StatementKind::BeginRead;
-  session.Open.Served = route->second;
+  session.Open.AssignedRoute = route->second;
   session.Open.Version = Table.Version;
   session.State = TransactionState::Open;
   answerDone(session);
 }
 
 void Sessions::rollBack(Session &session) {
-  dropLease(session.Open.Lease);
+  releaseLease(session.Open.Lease);
   session.Open = {};
   session.State = TransactionState::Idle;
   answerDone(session);
 }
 
 void Sessions::set(Session &session, const Statement &it) {
-  if (session.Set.size() >= limits::MostSessionNames &&
+  if (session.Set.size() >= limits::MaxSessionNames &&
       !session.Set.contains(it.Name)) {
     answerError(session, ErrorKind::Malformed, "too many values");
     return;
@@ -222,61 +222,59 @@
 }
 
 void Sessions::prepare(Session &session, const Statement &it) {
-  if (session.Names.size() >= limits::MostSessionNames &&
-      !session.Names.contains(it.Name)) {
+  if (session.PreparedStatements.size() >= limits::MaxSessionNames &&
+      !session.PreparedStatements.contains(it.Name)) {
     answerError(session, ErrorKind::Malformed, "too many prepared statements");
     return;
   }
-  session.Names[it.Name] = it.Body;
+  session.PreparedStatements[it.Name] = it.Body;
   answerDone(session);
 }
 
 void Sessions::deallocate(Session &session, const std::string &name) {
-  session.Names.erase(name);
+  session.PreparedStatements.erase(name);
   answerDone(session);
 }
 
-/// Load: sessions that roam over replicas that lag. A read goes where the log
-/// has all that the route's bound and the session's own commits ask for; the
-/// primary proves its lead instead when no such position is known.
-/// Runs the statement on the connection that its transaction holds.
 void Sessions::deliver(Session &session, Answer answer) {
   auto id = session.Id;
-  const auto &unit = *session.Current;
-  countStatement(Counts, unit.Served.Reads,
+  const auto &run = *session.Current;
+  countStatement(Metrics, run.AssignedRoute.Reads,
                  answer.ok() ? StatementOutcome::Served
                              : StatementOutcome::TargetError,
-                 Time.now() - unit.Began);
+                 Time.now() - run.StartedAt);
   logServed(session, answer);
   session.State = answer.State;
   session.Current.reset();
-  session.Active = Time.now();
+  session.LastActive = Time.now();
   if (session.State == TransactionState::Idle) {
-    dropLease(session.Open.Lease);
+    releaseLease(session.Open.Lease);
     session.Open = {};
   }
   Port.answer(id, answer);
   advance(session);
 }
 
-/// Failures that the target named are all logged, successes by sample.
+/// Logs every error answered by a target, and a sample of the successes.
 void Sessions::logServed(const Session &session, const Answer &answer) const {
-  const auto &unit = *session.Current;
-  if (answer.ok() && !telemetry::isSampled(unit.It.Id))
+  const auto &run = *session.Current;
+  if (answer.ok() && !telemetry::isSampled(run.Request.Id))
     return;
-  auto least = unit.Sent.Statements[0].NotBefore;
+  auto notBefore = run.Sent.Statements[0].NotBefore;
   telemetry::log(
       answer.ok() ? Event::StatementServed : Event::StatementFailed,
-      {field("request", unit.It.Id), field("database", session.Database.Value),
-       field("target", unit.Target.Value), field("tries", unit.Tries),
-       field("version", unit.Version),
+      {field("request", run.Request.Id),
+       field("database", session.Database.Value),
+       field("target", run.Target.Value), field("tries", run.Attempts),
+       field("version", run.Version),
        field("confirmed_ms_ago", routesAge().count()),
-       field("not_before",
-             least ? fmt::format("{}.{}", least->InTerm, least->Index) : "-"),
+       field("not_before", notBefore ? fmt::format("{}.{}", notBefore->InTerm,
+                                                   notBefore->Index)
+                                     : "-"),
        field("answer", answer.ok() ? "ok" : nameOf(answer.Error->Kind)),
-       field("took_ms",
-             std::chrono::duration_cast<milliseconds>(Time.now() - unit.Began)
-                 .count())});
+       field("took_ms", std::chrono::duration_cast<milliseconds>(Time.now() -
+                                                                 run.StartedAt)
+                            .count())});
 }
 
 void Sessions::rejectRemoved(Session &session, const Statement &it) {
@@ -315,56 +313,59 @@
     advance(session);
 }
 
-/// Nothing of the statement is kept: a lone one has not run, and one that
-/// should begin a transaction at a target leaves none.
+/// Answers that the statement was not run. A single statement has had no
+/// effect, and a transaction that was to begin at a target is not open there.
 void Sessions::refuse(Session &session, milliseconds retryAfter,
                       const char *why) {
-  auto &unit = *session.Current;
-  endWait(unit);
-  countStatement(Counts, unit.Served.Reads, StatementOutcome::NotRun,
-                 Time.now() - unit.Began);
-  countRefusal(Counts, why, Time.now() - unit.Began);
-  telemetry::log(
-      Event::StatementRefused,
-      {field("request", unit.It.Id), field("database", session.Database.Value),
-       field("group", unit.Served.Group.Value), field("why", why),
-       field("version", unit.Version), field("tries", unit.Tries),
-       field("last_target", unit.Target.Value),
-       field("waited_ms",
-             std::chrono::duration_cast<milliseconds>(Time.now() - unit.Began)
-                 .count()),
-       field("retry_after_ms", retryAfter.count())});
+  auto &run = *session.Current;
+  endWait(run);
+  countStatement(Metrics, run.AssignedRoute.Reads, StatementOutcome::NotRun,
+                 Time.now() - run.StartedAt);
+  countRefusal(Metrics, why, Time.now() - run.StartedAt);
+  telemetry::log(Event::StatementRefused,
+                 {field("request", run.Request.Id),
+                  field("database", session.Database.Value),
+                  field("group", run.AssignedRoute.Group.Value),
+                  field("why", why), field("version", run.Version),
+                  field("tries", run.Attempts),
+                  field("last_target", run.Target.Value),
+                  field("waited_ms", std::chrono::duration_cast<milliseconds>(
+                                         Time.now() - run.StartedAt)
+                                         .count()),
+                  field("retry_after_ms", retryAfter.count())});
   if (session.State == TransactionState::Open)
-    session.State = unit.It.Kind == StatementKind::Commit
+    session.State = run.Request.Kind == StatementKind::Commit
                         ? TransactionState::Idle
                         : TransactionState::Failed;
   answerError(session, ErrorKind::Busy,
               fmt::format("{}; retry-after-ms={}", why, retryAfter.count()));
 }
 
-void Sessions::giveUpLost(Session &session, const char *why) {
-  auto &unit = *session.Current;
-  countStatement(Counts, unit.Served.Reads, StatementOutcome::Unknown,
-                 Time.now() - unit.Began);
+void Sessions::answerUnknownOutcome(Session &session, const char *why) {
+  auto &run = *session.Current;
+  countStatement(Metrics, run.AssignedRoute.Reads, StatementOutcome::Unknown,
+                 Time.now() - run.StartedAt);
   telemetry::log(Event::OutcomeUnknown,
-                 {field("request", unit.It.Id),
+                 {field("request", run.Request.Id),
                   field("database", session.Database.Value),
-                  field("target", unit.Target.Value), field("why", why)});
+                  field("target", run.Target.Value), field("why", why)});
   session.State = TransactionState::Idle;
   answerError(session, ErrorKind::InDoubt, why);
 }
 
 void Sessions::resume(const GroupName &group) {
-  // By priority, then those that can still be answered in time, then arrival.
+  // By priority; then statements that can still meet their goal; then by
+  // arrival.
   using Order = std::tuple<unsigned, bool, TimePoint, CallerId>;
   auto now = Time.now();
   std::vector<Order> parked;
   for (const auto &[id, it] : All) {
-    if (!it.Current || !it.Current->Parked || it.Current->Served.Group != group)
+    if (!it.Current || !it.Current->Parked ||
+        it.Current->AssignedRoute.Group != group)
       continue;
-    const auto &unit = *it.Current;
-    bool late = isLate(goalOf(unit), now);
-    parked.emplace_back(unit.Served.Priority, late, unit.Began, id);
+    const auto &run = *it.Current;
+    bool late = isLate(goalOf(run), now);
+    parked.emplace_back(run.AssignedRoute.Priority, late, run.StartedAt, id);
   }
   std::sort(parked.begin(), parked.end());
   for (const auto &order : parked) {
@@ -376,31 +377,31 @@
 
 void Sessions::tickSession(Session &session, TimePoint now) {
   if (session.Current) {
-    auto &unit = *session.Current;
-    if (unit.RunAt && now >= *unit.RunAt) {
+    auto &run = *session.Current;
+    if (run.RunAt && now >= *run.RunAt) {
       if (session.State == TransactionState::Open && session.Open.Lease.valid())
-        runHeld(session);
+        runOnLease(session);
       else
         place(session);
-    } else if (unit.Parked)
+    } else if (run.Parked)
       place(session);
     return;
   }
   bool open = session.State != TransactionState::Idle;
   if (open && session.Open.Lease.valid() &&
-      now - session.Active >= Table.TransactionIdle) {
+      now - session.LastActive >= Table.TransactionIdle) {
     telemetry::log(Event::TransactionIdle,
                    {field("database", session.Database.Value),
                     field("target", session.Open.Target.Value)});
-    dropLease(session.Open.Lease);
+    releaseLease(session.Open.Lease);
     session.Open.Lease = {};
-    session.Open.Gone = true;
+    session.Open.ConnectionLost = true;
   }
   if (!StoppingSince)
     return;
-  bool rests = !open && now - *StoppingSince >= limits::StopQuiet;
-  bool over = now >= TransactionsUntil;
-  if (rests || over) {
+  bool isIdle = !open && now - *StoppingSince >= limits::IdleSessionStopDelay;
+  bool over = now >= TransactionStopDeadline;
+  if (isIdle || over) {
     auto id = session.Id;
     closed(id);
     Port.close(id);
@@ -422,12 +423,12 @@
 void Sessions::stop(Duration limit) {
   auto now = Time.now();
   StoppingSince = now;
-  TransactionsUntil = now + limit / 2;
-  StopAt = now + limit - limits::StopReserve;
+  TransactionStopDeadline = now + limit / 2;
+  StopDeadline = now + limit - limits::LastAnswersReserve;
 }
 
 bool Sessions::isStopped() const {
-  return StoppingSince && (All.empty() || Time.now() >= StopAt);
+  return StoppingSince && (All.empty() || Time.now() >= StopDeadline);
 }
 
 } // namespace peridotfall::proxy
--- a/src/proxy/sessions.h
+++ b/src/proxy/sessions.h
@@ -1,6 +1,6 @@
 /// \file
-/// Sessions of callers: what each has set, prepared and written, and how each
-/// of its statements is run. Decisions only; bytes are moved by the ports.
+/// Caller sessions: the values, prepared statements and transaction of each,
+/// and how its statements are executed. Only decides; the ports do the I/O.
 
 #ifndef PERIDOTFALL_PROXY_SESSIONS_H
 #define PERIDOTFALL_PROXY_SESSIONS_H
@@ -17,54 +17,56 @@
 namespace limits {
 
 /// Share of a statement's limit that it may wait for a primary or one of its
-/// connections. Load: a change of primary. Harm: all that waits runs into its
-/// limit together with no time left to run. Reason: the third that is left is
-/// the work of a queue of several statements.
+/// connections. While the primary changes, statements queue up; if they could
+/// wait for their whole limit, all would time out together with no time left to
+/// run. The remaining third is enough to run a queue of several statements.
 inline constexpr double PrimaryWaitShare = 0.65;
-/// Longest wait of a read for a connection to the target chosen for it;
-/// another target may have one. Reason: a few statements' time.
+/// Longest wait of a read for a connection to the chosen target; another target
+/// may have a free one. About the execution time of a few statements.
 inline constexpr milliseconds ReadWait{120};
-/// Share of a statement's limit after which a read that got no answer is
-/// tried at another target, and the least such time. Load: a target that is
-/// silent. Harm: all its reads run into their limit. Reason: longer than the
-/// longest work of a read, and two such tries fit into the limit.
-inline constexpr double ReadPatienceShare = 0.4;
-inline constexpr milliseconds LeastReadPatience{150};
-/// Tries of one statement, the first included.
-inline constexpr unsigned MostTries = 5;
-/// Time that a try needs at the least to be worth it.
-inline constexpr milliseconds LeastTry{20};
-/// Longest wait of a read for a replica to catch up that is not worth a turn
-/// of the timer.
-inline constexpr milliseconds NoWait{3};
-/// Pause before a statement that a busy target refused is tried there again.
-inline constexpr milliseconds BusyPause{15};
-/// The same at the most; each pause is one longer than the one before.
-inline constexpr milliseconds MostBusyPause{120};
-/// When a caller whose statement found no primary shall come back: about the
-/// rest of a change of primary once a statement has waited for it.
+/// Share of a statement's limit after which an unanswered read is retried at
+/// another target, and the minimum of that time. Without it, all reads at a
+/// silent target run into their limit. It is longer than the longest execution
+/// of a read, and two such attempts fit into the limit.
+inline constexpr double ReadTimeoutShare = 0.4;
+inline constexpr milliseconds MinReadTimeout{150};
+/// Attempts of one statement, the first included.
+inline constexpr unsigned MaxAttempts = 5;
+/// Minimum time left for which an attempt is started.
+inline constexpr milliseconds MinAttemptTime{20};
+/// Waits for a replica to catch up that are no longer than this don't justify a
+/// timer; the read is sent at once.
+inline constexpr milliseconds NegligibleWait{3};
+/// Delay before a statement rejected as busy is sent to the same target again.
+/// It grows by this much with each attempt, up to the maximum.
+inline constexpr milliseconds BusyRetryDelay{15};
+inline constexpr milliseconds MaxBusyRetryDelay{120};
+/// Retry-after for callers whose statement found no primary: about what is left
+/// of a change of primary after a statement has waited for it.
 inline constexpr milliseconds PrimaryRetryAfter{400};
-/// The same where connections or slots were taken: some statements' time.
+/// Retry-after where all connections or slots were taken: the execution time of
+/// some statements.
 inline constexpr milliseconds BusyRetryAfter{150};
-/// Statements that a session may send before their answers. Harm: memory.
-inline constexpr std::size_t MostPipelined = 64;
-/// A stopping daemon closes idle sessions after this long, when no new ones
-/// come to it any more: its readiness is asked once a second, twice.
-inline constexpr milliseconds StopQuiet{1'500};
-/// What is left of the time to stop for the last answers to leave.
-inline constexpr milliseconds StopReserve{400};
-/// Values and prepared names of one session. Harm: memory of a small VM.
-inline constexpr std::size_t MostSessionNames = 256;
+/// Statements that a session may send before they are answered. Bounds memory.
+inline constexpr std::size_t MaxPipelinedStatements = 64;
+/// A stopping daemon closes idle sessions after this long. By then no new
+/// sessions arrive: its readiness is polled once a second, twice.
+inline constexpr milliseconds IdleSessionStopDelay{1'500};
+/// Part of the time to stop that is reserved for sending the last answers.
+inline constexpr milliseconds LastAnswersReserve{400};
+/// Maximum number of values, and of prepared statements, of one session. Bounds
+/// memory on a small VM.
+inline constexpr std::size_t MaxSessionNames = 256;
 
 } // namespace limits
 
-/// Moves bytes to callers; never calls back from within.
+/// Sends to callers. Never calls back from within its functions.
 class CallerPort {
 public:
   virtual ~CallerPort() = default;
   virtual void greet(CallerId caller) = 0;
   virtual void answer(CallerId caller, const Answer &answer) = 0;
-  /// An error that belongs to no statement; the session ends.
+  /// Reports an error that belongs to no statement and ends the session.
   virtual void reject(CallerId caller, const StatementError &why) = 0;
   virtual void close(CallerId caller) = 0;
 };
@@ -75,23 +77,24 @@
   Sessions(Groups &groups, CallerPort &port, ProxyMetrics &metrics,
            const Clock &clock);
 
-  /// \return whether it is newer than the one in force; else nothing changes.
+  /// \return whether \p table was applied; one that is not newer than the
+  /// current table is ignored.
   bool takeRoutes(const RoutingTable &table);
   const RoutingTable &routes() const { return Table; }
-  /// \param at when the store last confirmed that the routes are the newest.
+  /// \param at when the store last confirmed that the routes are current.
   void confirmRoutes(TimePoint at) { RoutesConfirmedAt = at; }
 
   void start(CallerId caller, const DatabaseName &database);
   void statement(CallerId caller, Statement it);
   void closed(CallerId caller);
   void tick();
-  /// Runs what waits for the group's primary.
+  /// Runs the statements that wait for the group's primary.
   void resume(const GroupName &group);
-  /// Ends sessions as they come to rest, all within \p limit; open
-  /// transactions have half of it.
+  /// Closes sessions once they are idle, and all of them within \p limit. Open
+  /// transactions have half of it to finish.
   void stop(Duration limit);
   bool isStopping() const { return StoppingSince.has_value(); }
-  /// \return whether nothing is left, or the limit is over.
+  /// \return whether all sessions are closed or the limit has expired.
   bool isStopped() const;
 
   std::size_t open() const { return All.size(); }
@@ -100,28 +103,28 @@
   struct Transaction {
     bool ReadOnly = false;
     bool Wrote = false;
-    Route Served;
-    std::uint64_t Version = 0; ///< Of the routing table that Served is of.
+    Route AssignedRoute;
+    std::uint64_t Version = 0; ///< Of the table with AssignedRoute.
     LeaseId Lease;
     TargetName Target;
-    /// Its connection was lost; the next statement says so.
-    bool Gone = false;
+    /// The next statement is answered with an error.
+    bool ConnectionLost = false;
   };
-  /// A caller's statement under way.
-  struct Unit {
-    Statement It;
-    Route Served;
-    std::uint64_t Version = 0; ///< Of the routing table that Served is of.
+  /// The execution of a caller's statement, over all its attempts.
+  struct StatementRun {
+    Statement Request;
+    Route AssignedRoute;
+    std::uint64_t Version = 0; ///< Of the table with AssignedRoute.
     std::uint64_t Serial = 0;
-    TimePoint Began;
-    TimePoint Until;
-    unsigned Tries = 0;
+    TimePoint StartedAt;
+    TimePoint Deadline;
+    unsigned Attempts = 0;
     bool PrimaryOnly = false;
-    bool Placed = false;            ///< Counts at its target.
-    bool Parked = false;            ///< Waits for a primary.
-    std::optional<TimePoint> RunAt; ///< Waits for a replica or a slot.
-    std::optional<TimePoint> WaitsSince;
-    WaitPlace WaitsFor = WaitPlace::Primary;
+    bool InFlight = false;          ///< Counted as running at its target.
+    bool Parked = false;            ///< Waiting for a primary.
+    std::optional<TimePoint> RunAt; ///< Waiting for a replica or a slot.
+    std::optional<TimePoint> WaitingSince;
+    WaitPlace WaitingFor = WaitPlace::Primary;
     TargetName Avoid;
     TargetName Target;
     LeaseId Lease;
@@ -131,19 +134,19 @@
   struct Session {
     CallerId Id;
     DatabaseName Database;
-    bool Greeted = false;
+    bool HandshakeDone = false;
     Values Set;
-    std::map<std::string, Prepared> Names;
+    std::map<std::string, Prepared> PreparedStatements;
     TransactionState State = TransactionState::Idle;
-    Transaction Open; ///< Unless State is Idle.
-    Position Own;     ///< Of its last commit.
+    Transaction Open; ///< Valid unless State is Idle.
+    Position LastCommit;
     std::deque<Statement> Inbox;
-    std::optional<Unit> Current;
-    TimePoint Active;
+    std::optional<StatementRun> Current;
+    TimePoint LastActive;
   };
 
   Session *find(CallerId caller);
-  void greet(Session &session);
+  void acceptOrReject(Session &session);
   void advance(Session &session);
   void handle(Session &session, Statement it);
   void handleLocal(Session &session, const Statement &it);
@@ -154,32 +157,33 @@
   void set(Session &session, const Statement &it);
   void prepare(Session &session, const Statement &it);
 
-  void beginUnit(Session &session, Statement it);
+  void beginRun(Session &session, Statement it);
   void place(Session &session);
   void placeRead(Session &session, Group &group);
   void placeAtPrimary(Session &session, Group &group);
-  /// \return when its answer is of little use to the caller.
-  static std::optional<TimePoint> goalOf(const Unit &unit);
-  /// \return when a statement is given up on that waits for a primary.
-  static TimePoint primaryWaitEnd(const Unit &unit);
+  /// \return when the answer stops being useful to the caller (the route's
+  /// goal); nothing: it has no such time.
+  static std::optional<TimePoint> goalOf(const StatementRun &run);
+  /// \return when a statement stops waiting for a primary.
+  static TimePoint primaryWaitDeadline(const StatementRun &run);
   void park(Session &session);
-  /// Lets the statement wait until \p until and be placed again then.
-  void pause(Unit &unit, WaitPlace place, TimePoint until);
-  void beginWait(Unit &unit, WaitPlace place);
-  void endWait(Unit &unit);
+  /// Places the statement again at \p until.
+  void pause(StatementRun &run, WaitPlace place, TimePoint until);
+  void beginWait(StatementRun &run, WaitPlace place);
+  void endWait(StatementRun &run);
   void countAnswers(const BatchResult &result);
-  void countRead(const Unit &unit, const Answer &answer);
-  Batch composeFirst(const Session &session, bool atPrimary,
-                     std::optional<Position> notBefore) const;
-  void sendFirst(Session &session, const TargetName &target, bool atPrimary,
-                 std::optional<Position> notBefore);
-  /// \return whether it was sent to the target that leads its group.
-  bool isAtPrimary(const Unit &unit) const;
-  void onFirst(Session &session, const BatchResult &result);
-  void onFirstWhole(Session &session, const BatchResult &result);
-  void runHeld(Session &session);
-  void onHeld(Session &session, const BatchResult &result);
-  void lostHeld(Session &session, const BatchResult &result);
+  void countRead(const StatementRun &run, const Answer &answer);
+  Batch composeFirstBatch(const Session &session, bool atPrimary,
+                          std::optional<Position> notBefore) const;
+  void sendFirstBatch(Session &session, const TargetName &target,
+                      bool atPrimary, std::optional<Position> notBefore);
+  /// \return whether it was sent to the current leader of its group.
+  bool isAtPrimary(const StatementRun &run) const;
+  void handleFirstResult(Session &session, const BatchResult &result);
+  void handleFirstAnswers(Session &session, const BatchResult &result);
+  void runOnLease(Session &session);
+  void handleLeaseResult(Session &session, const BatchResult &result);
+  void handleLostLease(Session &session, const BatchResult &result);
   void retry(Session &session, ErrorKind why);
   void retryBusy(Session &session, TimePoint now);
   void report(Session &session, Group &group, const BatchResult &result);
@@ -189,26 +193,26 @@
   void answerDone(Session &session);
   void answerError(Session &session, ErrorKind kind, std::string detail);
   void refuse(Session &session, milliseconds retryAfter, const char *why);
-  void giveUpLost(Session &session, const char *why);
-  void dropLease(LeaseId lease);
-  using UnitHandler = void (Sessions::*)(Session &, const BatchResult &);
-  OnBatch guarded(const Session &session, UnitHandler then);
+  void answerUnknownOutcome(Session &session, const char *why);
+  void releaseLease(LeaseId lease);
+  using RunHandler = void (Sessions::*)(Session &, const BatchResult &);
+  OnBatch ifStillCurrent(const Session &session, RunHandler then);
   void logServed(const Session &session, const Answer &answer) const;
-  /// \return how long ago the store last confirmed the routes.
+  /// \return the time since the store last confirmed the routes.
   milliseconds routesAge() const;
   void tickSession(Session &session, TimePoint now);
 
   Groups &Targets;
   CallerPort &Port;
-  ProxyMetrics &Counts;
+  ProxyMetrics &Metrics;
   const Clock &Time;
   RoutingTable Table;
   TimePoint RoutesConfirmedAt;
   std::map<CallerId, Session> All;
   std::uint64_t LastSerial = 0;
   std::optional<TimePoint> StoppingSince;
-  TimePoint TransactionsUntil{};
-  TimePoint StopAt{};
+  TimePoint TransactionStopDeadline{};
+  TimePoint StopDeadline{};
 };
 
 } // namespace peridotfall::proxy
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -1,6 +1,6 @@
 /// \file
-/// Statements of a session's dialogue and the answers to them, between the
-/// code that speaks a wire protocol and the code that decides.
+/// Statements and their answers, as exchanged between the code that speaks a
+/// wire protocol and the code that decides.
 
 #ifndef PERIDOTFALL_PROXY_STATEMENT_H
 #define PERIDOTFALL_PROXY_STATEMENT_H
@@ -26,13 +26,13 @@
   Set,
   Prepare,
   Execute,
-  Deallocate, ///< Of a prepared name.
+  Deallocate, ///< Removes a prepared statement.
   Reset,      ///< Clears values and prepared names of a target connection.
-  Status,     ///< What a target says of itself.
+  Status,     ///< Asks a target for its TargetStatus.
   Unknown,
 };
 
-/// A prepared statement: what runs under a name.
+/// The body of a prepared statement, without its name.
 struct Prepared {
   bool Writes = false;
   std::string Shape;
@@ -40,23 +40,25 @@
   auto operator<=>(const Prepared &) const = default;
 };
 
-/// One statement, from a caller or to a target.
+/// A statement from a caller or to a target.
 struct Statement {
   StatementKind Kind = StatementKind::Unknown;
-  std::string Id;   ///< The caller's; empty: the proxy's own statement.
-  std::string Text; ///< Of a read or a write, as the caller sent it.
-  std::string Name; ///< Of a value or a prepared statement.
-  /// A value; or what an execution is given.
+  std::string Id; ///< The caller's id; empty: issued by the proxy itself.
+  /// The text of a read or a write, as the caller sent it.
+  std::string Text;
+  std::string Name; ///< Name of a value or a prepared statement.
+  /// The value to set, or the argument of an execution.
   std::string Argument;
-  Prepared Body;                     ///< Of Prepare.
-  std::optional<Position> NotBefore; ///< The log must have reached it.
+  Prepared Body; ///< Of Prepare and, once resolved, Execute.
+  /// The target may run it only once its log has reached this position.
+  std::optional<Position> NotBefore;
 
   auto operator<=>(const Statement &) const = default;
 };
 
-/// \return a statement of the proxy's own, without an id.
+/// \return a statement issued by the proxy itself, which has no id.
 Statement ownStatement(StatementKind kind);
-/// Prepared statements go by what they run.
+/// For Execute, reads and writes depend on the prepared body.
 bool writes(const Statement &it);
 bool reads(const Statement &it);
 
@@ -75,14 +77,14 @@
   NoStatement,
   Malformed,
   NoDatabase,
-  Other, ///< Stands in Detail whole.
+  Other, ///< Detail has the complete error.
 };
 
-/// For logs and metrics.
+/// \return the text used in logs and metric labels.
 const char *nameOf(ErrorKind it);
 
-/// \return whether a target that answers so has run nothing.
-constexpr bool saysNotRun(ErrorKind it) {
+/// \return whether the error means that the target has run nothing.
+constexpr bool hasNotRun(ErrorKind it) {
   return it == ErrorKind::Busy || it == ErrorKind::NoStatement ||
          it == ErrorKind::Lagging || it == ErrorKind::ReadOnly ||
          it == ErrorKind::WrongTarget || it == ErrorKind::ConnectionLimit;
@@ -95,7 +97,7 @@
   auto operator<=>(const StatementError &) const = default;
 };
 
-/// A target's word of itself.
+/// The role and log position that a target reports.
 struct TargetStatus {
   bool IsPrimary = false;
   Term CurrentTerm = 0;
@@ -104,14 +106,14 @@
   auto operator<=>(const TargetStatus &) const = default;
 };
 
-/// The whole answer to one statement.
+/// The complete answer to one statement.
 struct Answer {
   std::vector<std::string> Rows;
-  std::string Signature; ///< The target's, of a success; "-": it ran nothing.
+  std::string Signature; ///< Of a success; "-": the target ran nothing.
   std::optional<StatementError> Error;
   TransactionState State = TransactionState::Idle;
-  std::optional<Position> At;         ///< Of the target's log.
-  std::optional<TargetStatus> Status; ///< Of the answer to Status.
+  std::optional<Position> At;         ///< Position of the target's log.
+  std::optional<TargetStatus> Status; ///< Set in the answer to Status.
 
   auto operator<=>(const Answer &) const = default;
 
--- a/src/proxy/target_pool.cpp
+++ b/src/proxy/target_pool.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-/// \return whether a success of the statement carries the target's signature.
+/// \return whether a successful answer carries the target's signature.
 bool isSigned(StatementKind it) {
   return it == StatementKind::Read || it == StatementKind::Write ||
          it == StatementKind::Execute || it == StatementKind::Commit;
 }
 
-/// An answer that belongs to another statement of the batch: one was lost on
-/// the way, and the answers after it moved up by one place.
-bool isMisplaced(const Statement &statement, const Answer &answer) {
+/// \return whether the answer belongs to another statement of the batch: if an
+/// answer is lost, those after it move up by one.
+bool isOutOfOrder(const Statement &statement, const Answer &answer) {
   if (!answer.ok())
     return false;
   bool unsignedAnswer = answer.Signature.empty() || answer.Signature == "-";
   return isSigned(statement.Kind) == unsignedAnswer;
 }
 
-bool isCallers(const Batch &it) {
+bool hasCallerStatement(const Batch &it) {
   return std::any_of(it.Statements.begin(), it.Statements.end(),
                      [](const Statement &s) { return !s.Id.empty(); });
 }
@@ -50,11 +50,11 @@
   waiter.First = std::move(first);
   waiter.Done = std::move(done);
   waiter.Since = now;
-  waiter.Until = until;
-  waiter.End = now + request.Total;
+  waiter.WaitDeadline = until;
+  waiter.AnswerDeadline = now + request.Total;
   if (request.GoalLeft)
     waiter.Goal = now + *request.GoalLeft;
-  Waiting.push(std::move(waiter), isFree(), MostRunning, now);
+  Waiting.push(std::move(waiter), isFree(), MaxRunning, now);
   if (!Retired)
     assign();
   return id;
@@ -85,7 +85,7 @@
   auto it = findLease(lease);
   it->second.Abandoned = true;
   if (it->second.Current) {
-    // The answer is awaited, so that the connection can serve others.
+    // The answer is still awaited, so that the connection can be reused.
     it->second.Current->Done = nullptr;
     return;
   }
@@ -99,34 +99,34 @@
       }));
 }
 
-/// Load: more work than the target runs. Sent all at once, what is beyond its
-/// queue is refused by it whatever its priority. The waiting one that is
-/// chosen takes the idle connection that needs least to serve it; statements
-/// of open transactions do not wait here.
+/// Starts waiting leases on idle connections, for each the one that needs the
+/// fewest set-up statements. No more than MaxRunning are sent at once, as an
+/// overloaded target refuses what is beyond its queue whatever its priority.
+/// Statements of open transactions do not wait here.
 void TargetPool::assign() {
-  while (!Waiting.empty() && running() < MostRunning) {
+  while (!Waiting.empty() && running() < MaxRunning) {
     const auto &next = Waiting.next(Time.now());
     auto it = bestIdle(next.First.Session);
     if (it == Connections.end())
       break;
     auto waiter = Waiting.take(next.Lease);
-    noteWait(waiter);
+    reportWait(waiter);
     start(it, waiter.Lease, std::move(waiter.First), std::move(waiter.Done),
-          waiter.End);
+          waiter.AnswerDeadline);
   }
-  openMore();
+  openNeeded();
 }
 
 TargetPool::ConnectionIt TargetPool::bestIdle(const Values &session) {
   auto best = Connections.end();
-  std::size_t least = 0;
+  std::size_t fewest = 0;
   for (auto it = Connections.begin(); it != Connections.end(); ++it) {
     if (it->second.State != Phase::Idle)
       continue;
     auto n = distance(it->second.Environment.Set, session);
-    if (best == Connections.end() || n < least) {
+    if (best == Connections.end() || n < fewest) {
       best = it;
-      least = n;
+      fewest = n;
     }
     if (n == 0)
       break;
@@ -134,22 +134,24 @@
   return best;
 }
 
-/// Load: many statements that wait before a target which was just found, or
-/// whose connections were lost. Harm of a connection for each: opening one
-/// takes a slot for 12 to 27 ms, more than most statements need, and those
-/// that wait are late by it. Reason: what may not run needs no connection.
-void TargetPool::openMore() {
+/// Opens connections for waiting leases. When many of them wait for a target
+/// that was just discovered, or whose connections were lost, one connection for
+/// each would delay them: opening one takes a slot of the target for 12 to 27
+/// ms, more than most statements need. So none is opened for a statement that
+/// may not run yet.
+void TargetPool::openNeeded() {
   auto now = Time.now();
   if (Retired || now < OpenAfter)
     return;
-  // Other daemons may believe for a moment longer that this one holds some.
-  auto most = std::max<std::size_t>(Capacity, 1);
+  // Other daemons' plans may still list this one as a connection holder for a
+  // moment.
+  auto maxConnections = std::max<std::size_t>(Capacity, 1);
   std::size_t opening = 0;
   for (const auto &it : Connections)
     opening += it.second.State == Phase::Opening;
   auto active = running();
-  while (opening < Waiting.size() && opening + active < MostRunning &&
-         Connections.size() < most) {
+  while (opening < Waiting.size() && opening + active < MaxRunning &&
+         Connections.size() < maxConnections) {
     auto id = Port.open(Target);
     Connections[id].Since = now;
     ++opening;
@@ -164,7 +166,7 @@
   running.Setup = out.size();
   running.Done = std::move(done);
   running.Sent = Time.now();
-  running.Until = std::min(running.Sent + work.Patience, end);
+  running.AnswerDeadline = std::min(running.Sent + work.Patience, end);
   out.insert(out.end(), work.Statements.begin(), work.Statements.end());
   running.Work = std::move(work);
   connection.Current = std::move(running);
@@ -180,9 +182,9 @@
     return;
   it->second.State = Phase::Idle;
   it->second.Since = Time.now();
-  if (Failing)
+  if (Unreachable)
     telemetry::log(Event::TargetReached, {field("target", Target.Name.Value)});
-  Failing = false;
+  Unreachable = false;
   assign();
 }
 
@@ -191,20 +193,20 @@
   Connections.erase(connection);
   auto now = Time.now();
   if (why && why->Kind == ErrorKind::ConnectionLimit) {
-    OpenAfter = now + limits::FullPause;
+    OpenAfter = now + limits::ConnectionLimitDelay;
     return;
   }
-  OpenAfter = now + limits::RefusedPause;
-  if (!Failing)
+  OpenAfter = now + limits::ConnectRetryDelay;
+  if (!Unreachable)
     telemetry::log(Event::TargetLost,
                    {field("target", Target.Name.Value),
                     field("why", why ? why->Detail : "no connection")});
-  Failing = true;
+  Unreachable = true;
   bool anyOpen =
       std::any_of(Connections.begin(), Connections.end(), [](const auto &it) {
         return it.second.State != Phase::Opening;
       });
-  // Nothing here can serve what waits; another target may.
+  // Waiting leases can't be served here; another target may serve them.
   if (!anyOpen)
     refuseWaiting("target unreachable");
 }
@@ -213,28 +215,28 @@
   auto it = Connections.find(connection);
   if (it == Connections.end())
     return;
-  Failing = false;
+  Unreachable = false;
   if (!it->second.Current) {
-    lose(it, "answer to no statement");
+    dropConnection(it, "unexpected answer");
     return;
   }
   auto &running = *it->second.Current;
-  auto n = running.Came++;
+  auto n = running.AnswersReceived++;
   if (n < running.Setup) {
-    // Without its values or prepared statements the connection would run the
-    // rest of the batch in another session's state.
+    // Without its values or prepared statements the rest of the batch would run
+    // in another session's state.
     if (!answer.ok())
-      lose(it, "set-up of the connection failed");
+      dropConnection(it, "set-up of the connection failed");
     return;
   }
   const auto &statement = running.Work.Statements[n - running.Setup];
-  if (isMisplaced(statement, answer)) {
-    lose(it, "answer out of order");
+  if (isOutOfOrder(statement, answer)) {
+    dropConnection(it, "answer out of order");
     return;
   }
-  // Prepared names that the target has lost are prepared again.
+  // The target has lost prepared statements; prepare them again.
   if (answer.Error && answer.Error->Kind == ErrorKind::NoStatement)
-    it->second.Environment.Known.clear();
+    it->second.Environment.PreparedStatements.clear();
   running.Result.Answers.push_back(std::move(answer));
   if (running.Result.Answers.size() == running.Work.Statements.size())
     finish(it);
@@ -246,8 +248,8 @@
   connection.Current.reset();
   running.Result.End = BatchEnd::Whole;
   LastAnswer = Time.now();
-  if (isCallers(running.Work))
-    Waiting.noteAnswer(LastAnswer - running.Sent);
+  if (hasCallerStatement(running.Work))
+    Waiting.addAnswerTime(LastAnswer - running.Sent);
   bool idle = running.Result.Answers.back().State == TransactionState::Idle;
   running.Result.Kept = !running.Work.EndsLease;
   bool ends = running.Work.EndsLease || connection.Abandoned;
@@ -256,7 +258,7 @@
   bool wasRollback =
       running.Work.Statements.back().Kind == StatementKind::Rollback;
   if (ends && !idle && wasRollback)
-    lose(it, "rollback left a transaction open");
+    dropConnection(it, "rollback left a transaction open");
   else if (ends && !idle)
     rollBack(it);
   else if (ends) {
@@ -283,7 +285,7 @@
   start(it, lease, std::move(work), nullptr, end);
 }
 
-void TargetPool::lose(ConnectionIt it, const char *why) {
+void TargetPool::dropConnection(ConnectionIt it, const char *why) {
   auto id = it->first;
   auto connection = std::move(it->second);
   Connections.erase(it);
@@ -296,7 +298,7 @@
   auto &running = *connection.Current;
   running.Result.End = BatchEnd::Lost;
   running.Result.Why = {ErrorKind::InDoubt, why};
-  running.Result.TargetUnreachable = Failing;
+  running.Result.TargetUnreachable = Unreachable;
   running.Done(std::move(running.Result));
 }
 
@@ -315,7 +317,7 @@
   auto it = Connections.find(connection);
   if (it == Connections.end())
     return;
-  lose(it, "connection to the target lost");
+  dropConnection(it, "connection to the target lost");
 }
 
 void TargetPool::closeIdle() {
@@ -329,19 +331,19 @@
   }
 }
 
-void TargetPool::noteWait(const Waiter &waiter) const {
+void TargetPool::reportWait(const Waiter &waiter) const {
   if (OnWaited)
     OnWaited(Time.now() - waiter.Since);
 }
 
 void TargetPool::refuse(Waiter &waiter, const char *why) {
-  noteWait(waiter);
+  reportWait(waiter);
   BatchResult result;
   result.Why = {ErrorKind::Busy, why};
-  result.TargetUnreachable = Failing;
-  // A target that is silent may be replaced soon, which is worth a wait.
-  result.QueueFull =
-      !Failing && !Retired && Time.now() - LastAnswer < limits::SilentAfter;
+  result.TargetUnreachable = Unreachable;
+  // A silent target may be replaced soon, so its callers should keep waiting.
+  result.QueueFull = !Unreachable && !Retired &&
+                     Time.now() - LastAnswer < limits::SilenceThreshold;
   waiter.Done(std::move(result));
 }
 
@@ -352,67 +354,67 @@
 
 void TargetPool::setCapacity(std::size_t connections, std::size_t running) {
   Capacity = connections;
-  MostRunning = running;
-  // Another daemon may use the places from now on.
+  MaxRunning = running;
+  // Other daemons may open these connections from now on.
   if (Capacity == 0)
     closeIdle();
 }
 
 bool TargetPool::isFree() const {
   auto now = stats();
-  return now.Waiting == 0 && running() < MostRunning &&
+  return now.Waiting == 0 && running() < MaxRunning &&
          (now.Idle > 0 || now.Open < Capacity);
 }
 
 void TargetPool::tick() {
   auto now = Time.now();
-  std::vector<ConnectionId> late;
+  std::vector<ConnectionId> timedOut;
   std::vector<ConnectionId> silent;
   for (const auto &[id, it] : Connections) {
-    bool greeting = it.State == Phase::Opening;
-    if (greeting && now - it.Since >= limits::GreetingLimit)
-      late.push_back(id);
-    if (it.Current && now >= it.Current->Until)
+    bool opening = it.State == Phase::Opening;
+    if (opening && now - it.Since >= limits::HandshakeTimeout)
+      timedOut.push_back(id);
+    if (it.Current && now >= it.Current->AnswerDeadline)
       silent.push_back(id);
   }
-  for (auto id : late) {
+  for (auto id : timedOut) {
     Port.close(id);
     openFailed(id, std::nullopt);
   }
-  // A silent connection casts doubt on all others of the same path: those
-  // that are idle would each cost a statement its patience to find out.
+  // Idle connections use the same network path as the silent one. Each could
+  // cost a statement its whole timeout, so they are closed.
   for (auto id : silent) {
     auto it = Connections.find(id);
     if (it != Connections.end()) {
-      Failing = true;
-      lose(it, "target silent");
+      Unreachable = true;
+      dropConnection(it, "target silent");
     }
   }
   if (!silent.empty())
     closeIdle();
   for (auto it = Connections.begin(); it != Connections.end();) {
-    bool old = it->second.State == Phase::Idle &&
-               (Retired || Capacity == 0 ||
-                now - it->second.Since >= limits::IdleConnection);
-    if (old)
+    bool expired = it->second.State == Phase::Idle &&
+                   (Retired || Capacity == 0 ||
+                    now - it->second.Since >= limits::IdleConnectionTimeout);
+    if (expired)
       Port.close(it->first);
-    it = old ? Connections.erase(it) : std::next(it);
+    it = expired ? Connections.erase(it) : std::next(it);
   }
-  for (auto &it : Waiting.takeOver(now))
+  for (auto &it : Waiting.takeExpired(now))
     refuse(it, "no connection free in time");
-  openMore();
+  openNeeded();
 }
 
 void TargetPool::retire() {
   Retired = true;
-  refuseWaiting("target leaves");
+  refuseWaiting("target is leaving");
   closeIdle();
 }
 
 void TargetPool::breakAll() {
   retire();
   while (!Connections.empty())
-    lose(Connections.begin(), "target restarted");
+    dropConnection(Connections.begin(), "target restarted");
 }
 
 PoolStats TargetPool::stats() const {
--- a/src/proxy/target_pool.h
+++ b/src/proxy/target_pool.h
@@ -1,6 +1,6 @@
 /// \file
-/// The connections of this daemon to one target, and what waits for them.
-/// Decisions only; bytes are moved by the port.
+/// This daemon's connections to one target, and the leases that wait for them.
+/// Only decides; the port does the I/O.
 
 #ifndef PERIDOTFALL_PROXY_TARGET_POOL_H
 #define PERIDOTFALL_PROXY_TARGET_POOL_H
@@ -19,35 +19,35 @@
 
 using std::chrono::milliseconds;
 
-/// Longest wait for a target's greeting, which takes a slot for a while and
-/// waits in the target's queue before.
-inline constexpr milliseconds GreetingLimit{500};
-/// Pause after a target refused a connection because all of its were taken.
-/// Reason: those that hold them need about a statement's time to give one up.
-inline constexpr milliseconds FullPause{100};
-/// Pause after a connection could not be made. A target that crashed is back
-/// in seconds; ten tries a second notice it soon and cost little.
-inline constexpr milliseconds RefusedPause{100};
-/// An idle connection is closed after this long, so that another daemon can
-/// have its place; longer than the pauses of one session.
-inline constexpr milliseconds IdleConnection{15'000};
-/// A target that has answered nothing for so long is not taken for one that is
-/// merely busy: longer than one long statement keeps all its slots.
-inline constexpr milliseconds SilentAfter{250};
-/// Longest wait for the proxy's own rollback.
+/// Timeout of a connection's handshake, which waits in the target's queue and
+/// then takes a slot for a while.
+inline constexpr milliseconds HandshakeTimeout{500};
+/// Delay before connecting again to a target that is at its connection limit.
+/// Other connections need about the time of a statement to be released.
+inline constexpr milliseconds ConnectionLimitDelay{100};
+/// Delay before the next attempt after a connection failed. A crashed target is
+/// back within seconds; ten attempts a second detect that soon and cost little.
+inline constexpr milliseconds ConnectRetryDelay{100};
+/// Idle time after which a connection is closed, so that another daemon can
+/// open one. Longer than the pauses within a session.
+inline constexpr milliseconds IdleConnectionTimeout{15'000};
+/// A target that has answered nothing for this long is not assumed to be merely
+/// busy. Longer than one long statement occupies all slots.
+inline constexpr milliseconds SilenceThreshold{250};
+/// Timeout of a rollback that the proxy sends by itself.
 inline constexpr milliseconds RollbackLimit{500};
 
 } // namespace limits
 
-/// Moves bytes to and from targets. Events come back through the pool's
-/// opened, answered and closed; never from within these calls.
+/// Sends to targets. Events are reported through the pool's opened, openFailed,
+/// answered and closed, never from within these calls.
 class TargetPort {
 public:
   virtual ~TargetPort() = default;
   virtual ConnectionId open(const TargetEntry &target) = 0;
   virtual void send(ConnectionId connection,
                     const std::vector<Statement> &statements) = 0;
-  /// Nothing more is reported of it.
+  /// No event of the connection is reported afterwards.
   virtual void close(ConnectionId connection) = 0;
 };
 
@@ -63,37 +63,38 @@
 /// Not synchronised.
 class TargetPool {
 public:
-  /// \param lastLease counts the leases of all pools of the daemon.
+  /// \param lastLease last lease id, shared by all pools of the daemon.
   TargetPool(TargetEntry target, TargetPort &port, const Clock &clock,
              std::uint64_t &lastLease);
 
-  /// Called with how long each lease has waited for its connection.
+  /// Called with the time that each lease has waited for a connection.
   std::function<void(Duration)> OnWaited;
 
   LeaseId begin(const LeaseRequest &request, Batch first, OnBatch done);
   void run(LeaseId lease, Batch next, OnBatch done);
   void abandon(LeaseId lease);
   bool owns(LeaseId lease) const;
-  /// \return whether it waits for its next batch.
+  /// \return whether the lease has a connection and runs no batch.
   bool isHeld(LeaseId lease) const;
 
   void opened(ConnectionId connection);
-  /// \param why the target's word; nothing: it could not be reached.
+  /// \param why the target's error; nothing: it could not be reached.
   void openFailed(ConnectionId connection,
                   const std::optional<StatementError> &why);
   void answered(ConnectionId connection, Answer answer);
   void closed(ConnectionId connection);
-  /// Lets go of what waited or ran too long.
+  /// Ends what has waited or run for too long, and opens connections.
   void tick();
 
-  /// \param running statements of new leases that may run at once.
+  /// \param running statements that new leases may run at once.
   void setCapacity(std::size_t connections, std::size_t running);
-  /// \return whether a lease would start without waiting for another.
+  /// \return whether a new lease would start without waiting for another.
   bool isFree() const;
   void update(const TargetEntry &target) { Target = target; }
-  /// Refuses what waits and takes nothing new; leases that are open go on.
+  /// Refuses waiting and new leases; open leases continue.
   void retire();
-  /// Breaks everything: the process at the address is another one.
+  /// Aborts all leases and closes all connections, as another process now runs
+  /// at the address.
   void breakAll();
 
   const TargetEntry &target() const { return Target; }
@@ -105,12 +106,12 @@
 
   struct Running {
     Batch Work;
-    std::size_t Setup = 0; ///< Statements before it that are the proxy's.
-    std::size_t Came = 0;  ///< Answers, those of the set-up included.
+    std::size_t Setup = 0;           ///< Set-up statements sent before Work.
+    std::size_t AnswersReceived = 0; ///< Those of the set-up included.
     BatchResult Result;
     OnBatch Done;
     TimePoint Sent;
-    TimePoint Until;
+    TimePoint AnswerDeadline;
   };
   struct Connection {
     Phase State = Phase::Opening;
@@ -128,15 +129,15 @@
              TimePoint end);
   std::size_t running() const;
   ConnectionIt bestIdle(const Values &session);
-  void openMore();
+  void openNeeded();
   void finish(ConnectionIt it);
   void rollBack(ConnectionIt it);
-  /// Ends the batch as lost and forgets the connection.
-  void lose(ConnectionIt it, const char *why);
+  /// Closes the connection and ends its batch as lost.
+  void dropConnection(ConnectionIt it, const char *why);
   void logLost(const Running &running, const char *why) const;
   void closeIdle();
   void refuse(Waiter &waiter, const char *why);
-  void noteWait(const Waiter &waiter) const;
+  void reportWait(const Waiter &waiter) const;
   void refuseWaiting(const char *why);
 
   TargetEntry Target;
@@ -144,14 +145,15 @@
   const Clock &Time;
   std::uint64_t &LastLease;
   std::size_t Capacity = 1;
-  std::size_t MostRunning = 1;
+  std::size_t MaxRunning = 1;
   bool Retired = false;
   std::map<ConnectionId, Connection> Connections;
   std::map<LeaseId, ConnectionId> Leases;
   WaitQueue Waiting;
   TimePoint LastAnswer{};
   TimePoint OpenAfter{};
-  bool Failing = false; ///< The last try to reach it got no answer.
+  /// The last attempt to reach the target got no answer.
+  bool Unreachable = false;
 };
 
 } // namespace peridotfall::proxy
--- a/src/proxy/wait_queue.cpp
+++ b/src/proxy/wait_queue.cpp
@@ -11,8 +11,8 @@
   return [lease](const Waiter &it) { return it.Lease == lease; };
 }
 
-/// \return whether it has its turn before one that would come now.
-bool goesFirst(const Waiter &it, const Waiter &newcomer) {
+/// \return whether \p it would be run before a lease added now.
+bool precedes(const Waiter &it, const Waiter &newcomer) {
   if (it.Priority != newcomer.Priority)
     return it.Priority < newcomer.Priority;
   return it.First.EndsLease || !newcomer.First.EndsLease;
@@ -28,35 +28,35 @@
   return std::any_of(Waiting.begin(), Waiting.end(), isLease(lease));
 }
 
-/// What is sent at once is answered at once, so the places to run free up one
-/// after the other.
+/// Assumes that the target works on all running statements in parallel, so that
+/// places free up at even intervals.
 Duration WaitQueue::expectedWait(const Waiter &waiter,
-                                 std::size_t places) const {
+                                 std::size_t maxRunning) const {
   auto ahead =
       std::count_if(Waiting.begin(), Waiting.end(),
-                    [&](const Waiter &it) { return goesFirst(it, waiter); });
-  return AnswerTime.Value * (ahead + 1) / static_cast<Duration::rep>(places);
+                    [&](const Waiter &it) { return precedes(it, waiter); });
+  return AnswerTime.Value * (ahead + 1) /
+         static_cast<Duration::rep>(maxRunning);
 }
 
-/// Load: more work than the target can do, for seconds. Harm: what waits is
-/// served so late that its caller has no use for it, or is refused when there
-/// is no time left to come back. One that is turned away at once comes back
-/// while it can still be served in time.
-void WaitQueue::push(Waiter waiter, bool free, std::size_t places,
+/// Under several seconds of overload a waiting statement would be served too
+/// late for its caller, or refused when no time is left to retry. One that is
+/// rejected at once can be retried while it can still be served in time.
+void WaitQueue::push(Waiter waiter, bool free, std::size_t maxRunning,
                      TimePoint now) {
-  if (!free && now + expectedWait(waiter, places) > waiter.Until)
-    waiter.Until = now;
-  auto place =
+  if (!free && now + expectedWait(waiter, maxRunning) > waiter.WaitDeadline)
+    waiter.WaitDeadline = now;
+  auto position =
       std::find_if(Waiting.begin(), Waiting.end(), [&](const Waiter &it) {
         return it.Priority > waiter.Priority;
       });
-  Waiting.insert(place, std::move(waiter));
+  Waiting.insert(position, std::move(waiter));
 }
 
-/// Of the highest priority that waits the first that can still be answered in
-/// time, or the first if none can. Load: more work than the target can do. A
-/// transaction takes several statements' work for one caller, so single
-/// statements go before it: more callers are served.
+/// Returns the first lease of the highest priority that can still meet its
+/// goal, or the first one if none can. Single statements go before
+/// transactions: under overload a transaction uses the time of several
+/// statements for one caller, so fewer callers would be served.
 const Waiter &WaitQueue::next(TimePoint now) const {
   const auto &first = Waiting.front();
   const Waiter *transaction = nullptr;
@@ -88,10 +88,10 @@
   return true;
 }
 
-std::vector<Waiter> WaitQueue::takeOver(TimePoint now) {
+std::vector<Waiter> WaitQueue::takeExpired(TimePoint now) {
   std::vector<Waiter> out;
   for (auto it = Waiting.begin(); it != Waiting.end();) {
-    if (now < it->Until) {
+    if (now < it->WaitDeadline) {
       ++it;
       continue;
     }
