--- a/tests/proxy/fixture.h
+++ b/tests/proxy/fixture.h
@@ -1,6 +1,5 @@
 /// \file
-/// One daemon's sessions and groups before three targets that the test plays,
-/// in virtual time.
+/// One daemon's sessions and groups with three fake targets, in virtual time.
 
 #ifndef PERIDOTFALL_TESTS_PROXY_FIXTURE_H
 #define PERIDOTFALL_TESTS_PROXY_FIXTURE_H
@@ -15,7 +14,7 @@
 
 namespace peridotfall::proxy {
 
-/// Statements that reached a target, by connection, in order.
+/// Records the statements sent to targets, by connection and in order.
 struct FakeTargets final : TargetPort {
   struct Line {
     TargetName Target;
@@ -47,7 +46,7 @@
 };
 
 struct FakeCallers final : CallerPort {
-  void greet(CallerId caller) override { Greeted.push_back(caller); }
+  void greet(CallerId caller) override { HandshakesDone.push_back(caller); }
   void answer(CallerId caller, const Answer &answer) override {
     Answers[caller].push_back(answer);
   }
@@ -56,13 +55,13 @@
   }
   void close(CallerId caller) override { Closed.push_back(caller); }
 
-  std::vector<CallerId> Greeted;
+  std::vector<CallerId> HandshakesDone;
   std::map<CallerId, std::vector<Answer>> Answers;
   std::map<CallerId, StatementError> Rejected;
   std::vector<CallerId> Closed;
 };
 
-/// No other daemon.
+/// There is no other daemon, so nothing is relayed.
 struct NoRelay final : RelayPort {
   void begin(const VmName &, LeaseId, const LeaseRequest &, Batch,
              OnBatch) override {
@@ -80,14 +79,14 @@
 
   ManualClock Time;
   FakeTargets Links;
-  FakeCallers Side;
-  NoRelay Elsewhere;
+  FakeCallers CallerSide;
+  NoRelay Relay;
   Groups All{{VmName("vm"), DomainName("press"), RegionName("tartu")},
              Links,
-             Elsewhere,
+             Relay,
              Time};
   ProxyMetrics Counts = makeProxyMetrics();
-  Sessions Callers{All, Side, Counts, Time};
+  Sessions Callers{All, CallerSide, Counts, Time};
   TargetList Entries;
   Position Head{InTerm, 100};
   std::uint64_t LastCaller = 0;
@@ -144,14 +143,14 @@
     Callers.statement(caller, it);
   }
   const std::vector<Answer> &answers(CallerId caller) {
-    return Side.Answers[caller];
+    return CallerSide.Answers[caller];
   }
   const Answer &last(CallerId caller) {
-    REQUIRE_FALSE(Side.Answers[caller].empty());
-    return Side.Answers[caller].back();
+    REQUIRE_FALSE(CallerSide.Answers[caller].empty());
+    return CallerSide.Answers[caller].back();
   }
 
-  /// Greets every connection that is being made.
+  /// Completes the handshake of every connection that is being opened.
   void greetAll() {
     while (!Links.Opening.empty()) {
       auto id = Links.Opening.back();
@@ -160,7 +159,7 @@
                     [&](TargetPool &pool) { pool.opened(id); });
     }
   }
-  /// \return the connection of the target that has an unanswered statement.
+  /// \return a connection to the target with an unanswered statement.
   std::optional<ConnectionId> busyAt(const char *target) {
     for (const auto &[id, it] : Links.Lines)
       if (it.Open && it.Target.Value == target && !it.Unanswered.empty())
@@ -193,7 +192,7 @@
     out.State = state;
     return out;
   }
-  /// Answers all that the target was asked, as a healthy one does.
+  /// Answers all statements sent to the target, as a healthy one does.
   void serve(const char *target, TransactionState state) {
     greetAll();
     while (auto id = busyAt(target)) {
@@ -207,7 +206,7 @@
                                          : state));
     }
   }
-  /// Lets the group learn its log's head.
+  /// Makes the group learn the head of its log from an answer.
   void learnHead() {
     auto caller = session("orders");
     send(caller, StatementKind::Read, "READ a");
--- a/tests/proxy/logs_test.cpp
+++ b/tests/proxy/logs_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Reads the log's lines as they are written, and nothing else.
+/// Sees nothing but the log lines, as they are written.
 struct LogFixture : ProxyFixture {
   std::vector<tool::LogLine> Lines;
 
@@ -22,7 +22,7 @@
   LogFixture(const LogFixture &) = delete;
   LogFixture &operator=(const LogFixture &) = delete;
 
-  std::vector<std::string> story(const char *request) const {
+  std::vector<std::string> timeline(const char *request) const {
     std::vector<std::string> out;
     for (const auto &it : tool::storyOf(request, Lines)) {
       auto why = it.Fields.find("why");
@@ -35,10 +35,10 @@
 
 } // namespace
 
-// A caller is refused under load. Its statement waits for a connection while
-// other sessions' transactions hold all of them.
+// A statement is refused after it waited for a connection while the
+// transactions of other sessions held all of them.
 TEST_CASE_FIXTURE(
-    LogFixture, "write refused under load, its lines say what it waited for") {
+    LogFixture, "write refused under load, its lines show what it waited for") {
   for (unsigned n = 0; n < 16; ++n) {
     auto other = session("orders");
     send(other, StatementKind::Begin);
@@ -53,13 +53,13 @@
   Callers.statement(caller, it);
   pass(milliseconds(900));
   CHECK(last(caller).Error->Kind == ErrorKind::Busy);
-  auto lines = story("mine");
+  auto lines = timeline("mine");
   REQUIRE_FALSE(lines.empty());
   CHECK(lines.back() == "PF5002 busy");
   CHECK(Lines.back().Fields.at("last_target") == "p");
 }
 
-// A caller's write was sent and its connection broke as the primary crashed.
+// A write was sent, and its connection broke as the primary crashed.
 TEST_CASE_FIXTURE(LogFixture,
                   "write of unknown outcome, its lines name the connection") {
   auto caller = session("orders");
@@ -72,16 +72,16 @@
   auto id = *busyAt("p");
   All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
   CHECK(last(caller).Error->Kind == ErrorKind::InDoubt);
-  auto lines = story("mine");
+  auto lines = timeline("mine");
   CHECK(std::find(lines.begin(), lines.end(),
                   "PF4015 connection to the target lost") != lines.end());
   CHECK(std::find(lines.begin(), lines.end(),
                   "PF5003 connection to the target lost") != lines.end());
 }
 
-// A caller's read finds no replica young enough, and no primary to ask.
+// A read finds no replica that is fresh enough, and no primary.
 TEST_CASE_FIXTURE(LogFixture,
-                  "read refused for its age, its lines name each replica") {
+                  "read refused as replicas lag, its lines name each attempt") {
   learnHead();
   Entries.erase(TargetName("p"));
   All.takeTargets(Entries);
@@ -102,14 +102,16 @@
       }
   }
   CHECK(last(caller).Error->Kind == ErrorKind::Busy);
-  auto lines = story("mine");
+  auto lines = timeline("mine");
   CHECK(std::count(lines.begin(), lines.end(), "PF5009 lagging") >= 2);
   CHECK(lines.back() == "PF5002 no primary to run it");
 }
 
-// Guards against a session that is refused by old routes with no word of it.
+// Guards against a session that is rejected because of outdated routes without
+// a log line that shows it.
 TEST_CASE_FIXTURE(
-    LogFixture, "session without a route, its line tells how old routes are") {
+    LogFixture,
+    "session without a route, its line shows the age of the routes") {
   Callers.confirmRoutes(Time.now());
   pass(milliseconds(700));
   session("unknown");
@@ -117,7 +119,8 @@
   CHECK(Lines.back().Fields.at("confirmed_ms_ago") == "700");
 }
 
-// Guards against a removed route's statement that no line explains.
+// Guards against a statement that fails because its route was removed without a
+// log line that shows it.
 TEST_CASE_FIXTURE(LogFixture,
                   "statement after its route was removed, is logged") {
   auto caller = session("orders");
--- a/tests/proxy/paths_test.cpp
+++ b/tests/proxy/paths_test.cpp
@@ -10,17 +10,17 @@
 
 struct PathsFixture {
   ManualClock Time;
-  Paths Ways;
+  Paths TargetPaths;
   VmName One{"one"};
   VmName Two{"two"};
   VmName Self{"self"};
 
-  PathsFixture() { Ways.setHolders({One, Two}); }
+  PathsFixture() { TargetPaths.setHolders({One, Two}); }
 };
 
 } // namespace
 
-TEST_CASE("holders, few connections before many daemons, have some each") {
+TEST_CASE("holders, few connections for many daemons, have some each") {
   CHECK(planHolders(16, 2, 9).Holders == 3);
   CHECK(planHolders(38, 3, 6).Holders == 6);
   CHECK(planHolders(30, 2, 79).Holders == 4);
@@ -28,12 +28,12 @@
   CHECK(planHolders(0, 0, 0).Holders == 1);
 }
 
-// Callers' orders and lookups alike are refused by a target whose queue is
-// full. Seventy daemons share 186 connections to one that runs three
-// statements; were each connection's holder to send its least, the target
-// would have five times of what it takes.
+// A target whose queue is full refuses orders and lookups alike. Seventy
+// daemons share 186 connections to one that runs three statements; if the
+// holder of each connection could send its minimum, the target would get five
+// times what it accepts.
 TEST_CASE(
-    "holders, many connections before few slots, send no more than runs") {
+    "holders, many connections for few slots, send no more than can run") {
   for (std::size_t daemons : {1, 6, 9, 70, 79, 1'700})
     for (std::size_t connections : {16, 30, 38, 186, 2'000})
       for (std::size_t slots : {1, 2, 3, 8}) {
@@ -45,55 +45,55 @@
 
 TEST_CASE_FIXTURE(PathsFixture,
                   "statements of one daemon, spread over holders") {
-  CHECK(Ways.choose(Self, true) == One);
-  Ways.started(One);
-  CHECK(Ways.choose(Self, true) == Two);
-  Ways.started(Two);
-  Ways.ended(One, false, Time.now());
-  CHECK(Ways.choose(Self, true) == One);
+  CHECK(TargetPaths.choose(Self, true) == One);
+  TargetPaths.started(One);
+  CHECK(TargetPaths.choose(Self, true) == Two);
+  TargetPaths.started(Two);
+  TargetPaths.ended(One, false, Time.now());
+  CHECK(TargetPaths.choose(Self, true) == One);
 }
 
 TEST_CASE_FIXTURE(PathsFixture,
-                  "holder itself, connections free, asks nobody") {
-  Ways.setHolders({One, Self});
-  CHECK(Ways.choose(Self, true) == Self);
-  Ways.started(Self);
-  CHECK(Ways.choose(Self, false) == One);
+                  "holder itself, connections free, uses its own") {
+  TargetPaths.setHolders({One, Self});
+  CHECK(TargetPaths.choose(Self, true) == Self);
+  TargetPaths.started(Self);
+  CHECK(TargetPaths.choose(Self, false) == One);
 }
 
-// Callers wait for a holder that is dead or cut off, while another one of the
-// same target answers.
-TEST_CASE_FIXTURE(PathsFixture, "path that failed, is passed over and probed") {
-  Ways.started(One);
-  Ways.ended(One, true, Time.now());
-  CHECK(Ways.choose(Self, true) == Two);
-  CHECK_FALSE(Ways.unreachableSince());
-  CHECK(Ways.probesDue(Time.now()).empty());
-  Time.advance(limits::PathProbe);
-  CHECK(Ways.probesDue(Time.now()) == std::vector<VmName>{One});
-  CHECK(Ways.probesDue(Time.now()).empty());
-  Ways.ended(One, false, Time.now());
-  CHECK(Ways.choose(Self, true) == One);
+// Guards against callers that wait for a holder which has crashed or is cut
+// off, while another holder of the same target answers.
+TEST_CASE_FIXTURE(PathsFixture, "path that failed, is skipped and probed") {
+  TargetPaths.started(One);
+  TargetPaths.ended(One, true, Time.now());
+  CHECK(TargetPaths.choose(Self, true) == Two);
+  CHECK_FALSE(TargetPaths.unreachableSince());
+  CHECK(TargetPaths.probesDue(Time.now()).empty());
+  Time.advance(limits::PathProbeInterval);
+  CHECK(TargetPaths.probesDue(Time.now()) == std::vector<VmName>{One});
+  CHECK(TargetPaths.probesDue(Time.now()).empty());
+  TargetPaths.ended(One, false, Time.now());
+  CHECK(TargetPaths.choose(Self, true) == One);
 }
 
 TEST_CASE_FIXTURE(PathsFixture, "all paths failed, target is unreachable") {
   auto first = Time.now();
-  Ways.ended(One, true, first);
+  TargetPaths.ended(One, true, first);
   Time.advance(milliseconds(100));
-  Ways.ended(Two, true, Time.now());
-  CHECK(Ways.unreachableSince() == Time.now());
-  CHECK(Ways.choose(Self, true) == One);
-  Ways.setHolders({Two});
-  CHECK(Ways.unreachableSince());
-  Ways.ended(Two, false, Time.now());
-  CHECK_FALSE(Ways.unreachableSince());
+  TargetPaths.ended(Two, true, Time.now());
+  CHECK(TargetPaths.unreachableSince() == Time.now());
+  CHECK(TargetPaths.choose(Self, true) == One);
+  TargetPaths.setHolders({Two});
+  CHECK(TargetPaths.unreachableSince());
+  TargetPaths.ended(Two, false, Time.now());
+  CHECK_FALSE(TargetPaths.unreachableSince());
 }
 
-// Load: callers that leave while a holder works for them. Nothing is answered
-// then, and the holder must not be taken for the busier one for good.
-TEST_CASE_FIXTURE(PathsFixture, "work given up, its path is free again") {
-  Ways.started(One);
-  CHECK(Ways.choose(Self, true) == Two);
-  Ways.dropped(One);
-  CHECK(Ways.choose(Self, true) == One);
+// Guards against a holder that counts as busy for good: callers close their
+// sessions while it works for them, so their statements get no answer.
+TEST_CASE_FIXTURE(PathsFixture, "work abandoned, its path is free again") {
+  TargetPaths.started(One);
+  CHECK(TargetPaths.choose(Self, true) == Two);
+  TargetPaths.dropped(One);
+  CHECK(TargetPaths.choose(Self, true) == One);
 }
--- a/tests/proxy/sessions_test.cpp
+++ b/tests/proxy/sessions_test.cpp
@@ -16,12 +16,12 @@
 
 TEST_CASE_FIXTURE(ProxyFixture, "session, unknown database, is rejected") {
   auto caller = session("nothing");
-  CHECK(Side.Rejected.at(caller).Kind == ErrorKind::NoDatabase);
+  CHECK(CallerSide.Rejected.at(caller).Kind == ErrorKind::NoDatabase);
 }
 
 TEST_CASE_FIXTURE(
     ProxyFixture,
-    "lone read of a primary route, proves that its target leads") {
+    "single read of a primary route, proves that its target leads") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
   greetAll();
@@ -35,11 +35,11 @@
   CHECK(last(caller).State == TransactionState::Idle);
 }
 
-// The caller sees the answer of a primary that has been replaced.
-// The target refuses to begin a plain transaction, as it does not lead, and
-// runs the read by itself, on an old log; the read's success must not count.
+// Guards against an answer from a primary that has been replaced. It refuses
+// Begin, as it no longer leads, and runs the read behind it on an old log
+// outside of a transaction; the read's success must not be used.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "lone read, target has lost the lead, its row is dropped") {
+                  "single read, target no longer leads, its row is dropped") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
   greetAll();
@@ -51,12 +51,12 @@
   CHECK(answers(caller).empty());
 }
 
-// The caller's first statement of a transaction runs outside of it.
-// The replica lacks the position asked for and refuses to begin; a read sent
-// along with the beginning is then run by itself. So it waits for the answer.
+// Guards against a first statement that runs outside of its transaction. A
+// replica that lacks the required position refuses BeginRead and would run a
+// read sent along with it by itself, so the read waits for the answer.
 TEST_CASE_FIXTURE(
     ProxyFixture,
-    "first read of a transaction, beginning not answered, is not sent") {
+    "first read of a transaction, begin not answered, is not sent") {
   learnHead();
   auto caller = session("views");
   send(caller, StatementKind::BeginRead);
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "first write of a transaction, waits for its beginning") {
+                  "first write of a transaction, waits for its begin") {
   auto caller = session("orders");
   send(caller, StatementKind::Begin);
   send(caller, StatementKind::Write, "WRITE a x");
@@ -85,10 +85,10 @@
   CHECK(last(caller).State == TransactionState::Open);
 }
 
-// The caller was told that a write is acknowledged, and reads without it.
-// Its next read asks a replica for the position that the write was given.
+// Guards against a read that misses the session's own acknowledged write. The
+// next read requires the write's position of a replica.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "read after the own write, asks for the write's position") {
+                  "read after the own write, requires the write's position") {
   learnHead();
   auto caller = session("status");
   Head.Index = 140;
@@ -104,10 +104,10 @@
         Position{InTerm, 140});
 }
 
-// The caller must hear that nothing is known: the connection broke after its
-// write was sent, and the write may have been carried out.
+// The connection broke after the write was sent, and the write may have been
+// carried out.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "lone write, connection lost, its outcome is unknown") {
+                  "single write, connection lost, its outcome is unknown") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   greetAll();
@@ -117,8 +117,8 @@
   CHECK(last(caller).State == TransactionState::Idle);
 }
 
-// The caller sees its transaction fail before its commit was sent; nothing of
-// it is kept, as the target rolls back what loses its connection.
+// The connection broke before the commit was sent. Nothing is kept, as a target
+// rolls back the transaction of a lost connection.
 TEST_CASE_FIXTURE(
     ProxyFixture,
     "write in a transaction, connection lost, transaction is aborted") {
@@ -148,8 +148,8 @@
   CHECK(last(caller).Error->Kind == ErrorKind::InDoubt);
 }
 
-// The caller gets another statement's answer. The answer to its read was lost
-// on the way, and the one to the rollback behind it comes in its place.
+// Guards against the answer of another statement. The answer to the read was
+// lost on the way, and the one to the rollback behind it arrives in its place.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "answers that moved up by one, are not passed on") {
   auto caller = session("orders");
@@ -193,7 +193,7 @@
   CHECK(last(caller).ok());
 }
 
-// Two callers use the same name for different values; each must see its own.
+// Two sessions set the same name to different values; each must see its own.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "connection that served another session, gets its values") {
   auto one = session("orders");
@@ -237,12 +237,11 @@
                     StatementKind::Prepare, StatementKind::Execute});
 }
 
-// The caller reads old data from a replaced primary for as long as the
-// route's bound allows. The old primary refuses to begin a plain transaction
-// and runs the read behind it by itself; that success shows no lead, so its
-// log's position bounds nothing.
+// Guards against reads from a replaced primary for as long as the route's bound
+// allows. It refuses Begin and runs the read behind it by itself; that success
+// proves no leadership, so its log position bounds nothing.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "read behind a refused beginning, does not show a lead") {
+                  "read behind a refused begin, does not prove leadership") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
   greetAll();
@@ -256,10 +255,10 @@
   CHECK_FALSE(view.positionFor(milliseconds(1'500), Time.now()));
 }
 
-// Callers must not lose an answer to a planned stop. Sessions at rest end a
-// moment after readiness is taken back; a transaction has until its limit.
+// Guards against answers lost in a planned stop. Idle sessions are closed
+// shortly after readiness is withdrawn; a transaction has until its limit.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "stop, sessions at rest end, transactions have their time") {
+                  "stop, idle sessions end, transactions have their time") {
   auto resting = session("orders");
   auto busy = session("orders");
   send(busy, StatementKind::Begin);
@@ -267,22 +266,22 @@
   serve("p", TransactionState::Open);
   Callers.stop(milliseconds(6'000));
   pass(milliseconds(1'000));
-  CHECK(Side.Closed.empty());
+  CHECK(CallerSide.Closed.empty());
   pass(milliseconds(1'000));
-  CHECK(Side.Closed == std::vector<CallerId>{resting});
+  CHECK(CallerSide.Closed == std::vector<CallerId>{resting});
   send(busy, StatementKind::Commit, "COMMIT");
   serve("p", TransactionState::Open);
   CHECK(last(busy).ok());
   pass(milliseconds(100));
-  CHECK(Side.Closed == std::vector<CallerId>{resting, busy});
+  CHECK(CallerSide.Closed == std::vector<CallerId>{resting, busy});
   CHECK(Callers.isStopped());
 }
 
-// A statement must not reach a process that knows nothing of before. The
-// target starts anew under its old name; what ran there is lost, and new work
-// gets connections of its own.
+// Guards against statements sent to a process without the previous state. The
+// target restarts under its old name; what ran there is lost, and new
+// statements get new connections.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "target started anew, its connections are not used again") {
+                  "target restarted, its connections are not used again") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   serve("p", TransactionState::Idle);
@@ -297,7 +296,7 @@
   CHECK(Links.Lines.size() == 2);
 }
 
-// A leaving target gets no new work; a read goes to another one.
+// A leaving replica gets no new statements; reads go to another target.
 TEST_CASE_FIXTURE(ProxyFixture, "replica leaving, reads go elsewhere") {
   learnHead();
   Entries.at(TargetName("r")).Leaving = true;
@@ -314,7 +313,8 @@
     CHECK(it.Target.Value != "r");
 }
 
-// Guards against new work at a leaving primary that nobody can replace.
+// Guards against new statements at a leaving primary that no other target can
+// replace.
 TEST_CASE_FIXTURE(
     ProxyFixture,
     "primary leaving, gets writes until its limit and none after") {
@@ -337,11 +337,11 @@
   }
 }
 
-// Load: a new primary takes all reads while the replicas lag, and refuses some
-// as busy. Given up on after a few quick tries, a statement is lost with most
+// A new primary serves all reads while the replicas lag, and rejects some as
+// busy. Abandoned after a few quick attempts, a statement would fail with most
 // of its time unused.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "target busy for a while, statement is tried for longer") {
+                  "target busy for a while, statement is retried for longer") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   greetAll();
@@ -358,7 +358,7 @@
   CHECK(last(caller).ok());
 }
 
-TEST_CASE_FIXTURE(ProxyFixture, "routes of an older version, are not taken") {
+TEST_CASE_FIXTURE(ProxyFixture, "routes of an older version, are not applied") {
   auto newer = Callers.routes();
   newer.Version = 7;
   newer.Routes.erase(DatabaseName("views"));
@@ -370,8 +370,9 @@
   CHECK(Callers.routes() == newer);
 }
 
-// A caller's statement is never answered. Its transaction's connection broke
-// between two statements, so nobody was told; the next one finds no lease.
+// Guards against a statement that is never answered. Its transaction's
+// connection broke between two statements, when nobody could be told; the next
+// statement has no lease.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "connection lost between statements, next one is aborted") {
   auto caller = session("orders");
@@ -387,8 +388,8 @@
   CHECK(last(caller).State == TransactionState::Failed);
 }
 
-// The same for a commit: without a byte of it sent, the target has rolled the
-// transaction back, and the caller may be told so.
+// The same for a commit: if no byte of it was sent, the target has rolled the
+// transaction back, and the caller can be told so.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "connection lost before the commit, nothing is kept") {
   auto caller = session("orders");
@@ -403,10 +404,10 @@
   CHECK(last(caller).State == TransactionState::Idle);
 }
 
-// Load: callers that leave while their reads run. Counted as running for good,
-// they make a healthy replica look busy, and all reads go elsewhere.
+// Guards against a healthy replica that counts as busy for good, so that all
+// reads go elsewhere: callers close their sessions while their reads run.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "callers leave while they read, replica is used again") {
+                  "sessions close while they read, replica is used again") {
   learnHead();
   auto readAt = [&](bool leaves) {
     auto caller = session("views");
@@ -432,9 +433,9 @@
   CHECK(atReplica > 0);
 }
 
-// Load: many callers come at once to a primary that answers slowly. The last
-// of them would wait for longer than they may; waiting for nothing, they would
-// have no time left to come back. They are told at once that nothing has run.
+// Many callers arrive at once at a primary that answers slowly. The last of
+// them would wait until their limit with no time left to retry, so they are
+// told at once that nothing has run.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "queue longer than a statement may wait, its caller is told "
                   "at once") {
@@ -458,12 +459,12 @@
         "more waits than runs in time; retry-after-ms=150");
 }
 
-// Load: both replicas fall 2.5 s behind. Asked in turn by each read, they say
-// each time that they lack its position; and once they have caught up nobody
-// asks them, so that the primary gets all reads for good. They are asked for
-// their position instead, and take reads again when it suffices.
+// Both replicas fall 2.5 s behind. If each read tried them, it would be
+// rejected each time; and if no read tried them once they have caught up, the
+// primary would get all reads for good. They are queried for their position
+// instead, and get reads again when it suffices.
 TEST_CASE_FIXTURE(ProxyFixture,
-                  "replicas behind, are asked by no read until they caught "
+                  "replicas behind, get no read until they have caught "
                   "up") {
   constexpr unsigned Steps = 30;
   constexpr unsigned StepsBehind = 25;
@@ -498,9 +499,9 @@
   CHECK((busyAt("r") || busyAt("s")));
 }
 
-// Load: callers come back at once after an outage, when only the primary is
-// known to be up to date. Its queue is longer than a read waits for one of
-// several replicas, and is gone soon: the reads wait for their turn.
+// Callers return at once after an outage, when only the primary is known to be
+// up to date. Its queue is longer than a read waits for one of several
+// replicas, but short-lived: the reads wait for their turn.
 TEST_CASE_FIXTURE(ProxyFixture,
                   "read that only the primary may run, waits for its turn "
                   "there") {
--- a/tests/proxy/target_pool_test.cpp
+++ b/tests/proxy/target_pool_test.cpp
@@ -14,7 +14,7 @@
   FakeTargets Links;
   std::uint64_t LastLease = 0;
   TargetPool Pool{entry(), Links, Time, LastLease};
-  std::vector<std::string> Ended; ///< Ids of statements, in order.
+  std::vector<std::string> Finished; ///< Statement ids, in order.
 
   PoolFixture() { Pool.setCapacity(8, 3); }
 
@@ -34,11 +34,11 @@
     LeaseRequest request{TargetName("t"), priority, milliseconds(300),
                          milliseconds(800)};
     return Pool.begin(request, batch, [this, id](const BatchResult &it) {
-      Ended.push_back(std::string(id) +
-                      (it.End == BatchEnd::NotRun ? " not run" : ""));
+      Finished.push_back(std::string(id) +
+                         (it.End == BatchEnd::NotRun ? " not run" : ""));
     });
   }
-  void greetAll() {
+  void completeHandshakes() {
     while (!Links.Opening.empty()) {
       auto id = Links.Opening.back();
       Links.Opening.pop_back();
@@ -64,16 +64,16 @@
     }
   }
   void serveAll() {
-    greetAll();
+    completeHandshakes();
     while (running() > 0) {
       serveOne();
-      greetAll();
+      completeHandshakes();
     }
   }
 };
 
-/// Work that comes evenly, and a target that takes the same time for each
-/// statement.
+/// Statements that arrive at an even rate, and a target that takes the same
+/// time for each.
 struct OverloadFixture : PoolFixture {
   static constexpr milliseconds Work{18};
   static constexpr milliseconds Goal{500};
@@ -85,26 +85,26 @@
     std::int64_t SinglesPerSecond = 0;
     std::int64_t TransactionsPerSecond = 0;
     milliseconds Wait = LongestWait;
-    std::optional<milliseconds> Goal; ///< That the pool is told of.
+    std::optional<milliseconds> Goal; ///< As passed to the pool.
   };
   struct Outcome {
-    std::size_t Came = 0;
+    std::size_t Arrived = 0;
     std::size_t InTime = 0;
     std::size_t Refused = 0;
-    Duration LongestRefusal{}; ///< Of those that came to a full queue.
+    Duration LongestRefusal{}; ///< Of those that came after the first third.
   };
 
   Outcome Singles;
   Outcome Transactions;
-  std::map<ConnectionId, TimePoint> Began;
+  std::map<ConnectionId, TimePoint> WorkSince;
   TimePoint Start = Time.now();
 
-  void play(const Load &load) {
+  void run(const Load &load) {
     while (Time.now() - Start < Span + LongestWait) {
       arrive(load, load.SinglesPerSecond, 1, Singles);
       arrive(load, load.TransactionsPerSecond, TransactionStatements,
              Transactions);
-      greetAll();
+      completeHandshakes();
       serveDue();
       Pool.tick();
       Time.advance(milliseconds(1));
@@ -117,8 +117,8 @@
     auto passed = std::min<Duration>(Time.now() - Start, Span);
     auto due = std::chrono::duration<double>(passed).count() *
                static_cast<double>(perSecond);
-    while (static_cast<double>(out.Came) < due) {
-      ++out.Came;
+    while (static_cast<double>(out.Arrived) < due) {
+      ++out.Arrived;
       beginOne(load, statements, out);
     }
   }
@@ -139,15 +139,16 @@
     auto left = std::make_shared<unsigned>(statements - 1);
     *lease = Pool.begin(request, batchOf(statements == 1),
                         [=, this, &out](const BatchResult &it) {
-                          took(it, lease, left, since, out);
+                          handleResult(it, lease, left, since, out);
                         });
   }
-  void took(const BatchResult &it, const std::shared_ptr<LeaseId> &lease,
-            const std::shared_ptr<unsigned> &left, TimePoint since,
-            Outcome &out) {
+  void handleResult(const BatchResult &it,
+                    const std::shared_ptr<LeaseId> &lease,
+                    const std::shared_ptr<unsigned> &left, TimePoint since,
+                    Outcome &out) {
     if (it.End != BatchEnd::Whole) {
       ++out.Refused;
-      // While the first ones come the time of an answer is not known yet.
+      // During the first third the answer time isn't known yet.
       if (since - Start > Span / 3)
         out.LongestRefusal = std::max(out.LongestRefusal, Time.now() - since);
     } else if (*left == 0)
@@ -155,17 +156,17 @@
     else
       Pool.run(*lease, batchOf(--*left == 0),
                [=, this, &out](const BatchResult &next) {
-                 took(next, lease, left, since, out);
+                 handleResult(next, lease, left, since, out);
                });
   }
   void serveDue() {
     for (auto &[id, line] : Links.Lines) {
       if (line.Unanswered.empty())
         continue;
-      auto since = Began.try_emplace(id, Time.now()).first->second;
+      auto since = WorkSince.try_emplace(id, Time.now()).first->second;
       if (Time.now() - since < Work)
         continue;
-      Began.erase(id);
+      WorkSince.erase(id);
       line.Unanswered.pop_front();
       Answer answer;
       answer.Signature = "s";
@@ -176,47 +177,48 @@
 
 } // namespace
 
-// Load: more statements than a target runs. Sent all at once, those beyond its
-// queue are refused by it and tried again, which it refuses again; orders among
-// them fare no better than lookups. Held here, the order goes first.
+// Under overload, statements sent beyond the target's queue are refused,
+// retried and refused again; orders fare no better than lookups. Queued in the
+// pool instead, the order goes first.
 TEST_CASE_FIXTURE(PoolFixture,
                   "more statements than the target runs, wait by priority") {
   for (const char *id : {"a", "b", "c", "d", "e"})
     begin(id, 2);
-  greetAll();
+  completeHandshakes();
   CHECK(running() == 3);
   begin("order", 1);
   serveOne();
-  greetAll();
+  completeHandshakes();
   CHECK(running() == 3);
   serveAll();
-  REQUIRE(Ended.size() == 6);
-  auto place = std::find(Ended.begin(), Ended.end(), "order") - Ended.begin();
-  CHECK(place < 4);
+  REQUIRE(Finished.size() == 6);
+  auto position =
+      std::find(Finished.begin(), Finished.end(), "order") - Finished.begin();
+  CHECK(position < 4);
 }
 
-// Load: all callers come back at once after a restart. Each connection that is
-// opened takes a slot for longer than a statement does, so that what waits is
-// late by those that it did not need.
+// After a restart all callers return at once. Each connection that is opened
+// takes a slot for longer than a statement does, so connections that aren't
+// needed delay the waiting statements.
 TEST_CASE_FIXTURE(PoolFixture,
-                  "many wait before a new target, connections are opened only "
+                  "many wait for a new target, connections are opened only "
                   "for what may run") {
   for (const char *id : {"a", "b", "c", "d", "e", "f", "g", "h"})
     begin(id, 2);
   CHECK(Links.Opening.size() == 3);
   serveAll();
-  CHECK(Ended.size() == 8);
+  CHECK(Finished.size() == 8);
   CHECK(Links.Lines.size() == 3);
 }
 
-// Load, for three seconds: 220 statements a second of 18 ms before a target
+// For three seconds, 220 statements a second of 18 ms each arrive at a target
 // that runs three at once, 166 a second. In order of arrival all wait about as
-// long as they may, and callers get nearly every answer too late to use it.
+// long as they may, and nearly every answer is too late to be useful.
 TEST_CASE("more work than the target can do, most is served in time") {
   OverloadFixture inOrder;
-  inOrder.play({.SinglesPerSecond = 220});
+  inOrder.run({.SinglesPerSecond = 220});
   OverloadFixture byGoal;
-  byGoal.play({.SinglesPerSecond = 220, .Goal = milliseconds(500)});
+  byGoal.run({.SinglesPerSecond = 220, .Goal = milliseconds(500)});
   CAPTURE(inOrder.Singles.InTime);
   CAPTURE(byGoal.Singles.InTime);
   constexpr std::size_t Slots = 3;
@@ -225,14 +227,14 @@
   CHECK(byGoal.Singles.InTime > Most);
 }
 
-// Load, for three seconds: the same, from callers that may wait for 120 ms. All
-// that come while the queue is longer wait for nothing until then, and have so
-// much less time to come back. What will not run in time is told so at once.
+// For three seconds, the same load from callers that may wait for 120 ms. All
+// that arrive while the queue is longer would wait in vain and have less time
+// left to retry. Statements that won't run in time are refused at once.
 TEST_CASE_FIXTURE(OverloadFixture,
                   "queue longer than a caller may wait, is refused at once") {
-  play({.SinglesPerSecond = 220,
-        .Wait = milliseconds(120),
-        .Goal = milliseconds(500)});
+  run({.SinglesPerSecond = 220,
+       .Wait = milliseconds(120),
+       .Goal = milliseconds(500)});
   CAPTURE(Singles.Refused);
   CHECK(Singles.Refused > 50);
   CHECK(Singles.LongestRefusal <= milliseconds(20));
@@ -240,31 +242,31 @@
   CHECK(Singles.InTime > Slots * 166 * 9 / 10);
 }
 
-// Load, for three seconds: a target whose replicas have fallen behind gets all
-// reads of its group. Transactions of four statements, which run on once they
-// have begun, take the places of the many callers that want one statement, and
-// these are refused. With the single ones first nearly all of them are served.
+// For three seconds, a target whose replicas lag gets all reads of its group.
+// Transactions of four statements, which continue once begun, use the slots
+// that many callers with single statements need, and these are refused. With
+// single statements first nearly all of them are served.
 TEST_CASE_FIXTURE(OverloadFixture,
                   "transactions and single statements overload the target, "
                   "most single ones are served") {
-  play({.SinglesPerSecond = 120,
-        .TransactionsPerSecond = 40,
-        .Wait = milliseconds(120),
-        .Goal = milliseconds(500)});
+  run({.SinglesPerSecond = 120,
+       .TransactionsPerSecond = 40,
+       .Wait = milliseconds(120),
+       .Goal = milliseconds(500)});
   CAPTURE(Transactions.InTime);
-  CHECK(Singles.InTime > Singles.Came * 9 / 10);
+  CHECK(Singles.InTime > Singles.Arrived * 9 / 10);
   CHECK(Transactions.InTime > 0);
 }
 
-// A transaction that waits behind new work would hold its connection and its
-// locks the longer; its statements go at once.
+// A transaction that waited behind new statements would hold its connection and
+// its locks for longer, so its statements run at once.
 TEST_CASE_FIXTURE(PoolFixture,
                   "statement of an open transaction, does not wait") {
   auto held = begin("first", 2, true);
   serveAll();
   for (const char *id : {"a", "b", "c", "d"})
     begin(id, 2);
-  greetAll();
+  completeHandshakes();
   REQUIRE(running() == 3);
   Batch next;
   next.Statements.resize(1);
@@ -275,21 +277,21 @@
   CHECK(running() == 4);
 }
 
-TEST_CASE_FIXTURE(PoolFixture, "statement that waits too long, has not run") {
+TEST_CASE_FIXTURE(PoolFixture, "statement that waits too long, is not run") {
   for (const char *id : {"a", "b", "c", "late"})
     begin(id, 2);
-  greetAll();
+  completeHandshakes();
   Time.advance(milliseconds(320));
   Pool.tick();
-  CHECK(Ended == std::vector<std::string>{"late not run"});
+  CHECK(Finished == std::vector<std::string>{"late not run"});
 }
 
-// A silent target holds each statement for its whole patience. Idle
-// connections of the same path would cost the next ones as much.
+// A silent target blocks each statement for its whole timeout. Idle connections
+// on the same network path would cost the next statements as much.
 TEST_CASE_FIXTURE(PoolFixture, "connection silent, idle ones are closed too") {
   begin("a", 2);
   begin("b", 2);
-  greetAll();
+  completeHandshakes();
   serveOne();
   Time.advance(milliseconds(520));
   Pool.tick();
