--- a/src/proxy/directory.h
+++ b/src/proxy/directory.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the platform says there is: routes of databases, the targets that
-/// serve them, and the daemons. Each part is believed in its newest version.
+/// What the platform lists: routes of databases, and the targets that serve
+/// them. The newest version of each part applies.
 
 #ifndef PERIDOTFALL_PROXY_DIRECTORY_H
 #define PERIDOTFALL_PROXY_DIRECTORY_H
@@ -22,9 +22,9 @@
 using GroupName = Name<struct GroupTag>;
 
 enum class Guarantee : std::uint8_t {
-  Primary,          ///< Every read sees all that was acknowledged.
-  BoundedStaleness, ///< Reads may lack the youngest commits.
-  ReadYourWrites,   ///< So they may, but never the session's own.
+  Primary,          ///< Reads see all acknowledged commits.
+  BoundedStaleness, ///< Reads may lack the latest commits.
+  ReadYourWrites,   ///< The same, but never lack the session's own commits.
 };
 
 /// How the sessions of one database are served.
@@ -32,10 +32,10 @@
   DatabaseName Database;
   GroupName Group;
   Guarantee Reads = Guarantee::Primary;
-  milliseconds StatementLimit{800}; ///< For one statement, waits included.
+  milliseconds StatementLimit{800}; ///< For one statement, including waits.
   unsigned Priority = 0;            ///< 0 is the highest.
   milliseconds MaxStaleness{};
-  /// An answer that comes later is of little use to the caller. Zero: any is.
+  /// A later answer is of little use to the caller. Zero: no such limit.
   milliseconds Goal{};
 
   auto operator<=>(const Route &) const = default;
@@ -43,12 +43,13 @@
 
 struct GroupSettings {
   std::size_t MaxConnections = 1; ///< To each target, over all daemons.
-  bool WaitsForReplica = false; ///< Commits are acknowledged by a replica too.
+  /// Commits are acknowledged only once a replica has them.
+  bool WaitsForReplica = false;
 
   auto operator<=>(const GroupSettings &) const = default;
 };
 
-/// The operators' configuration, whole.
+/// The operators' complete configuration.
 struct RoutingTable {
   std::uint64_t Version = 0;
   std::map<DatabaseName, Route> Routes;
@@ -60,12 +61,12 @@
 
 /// One process that serves as a target.
 struct TargetEntry {
-  TargetName Name; ///< Of the process; a new one at the address has another.
+  TargetName Name; ///< A new process at the address has another name.
   GroupName Group;
   std::string Address;
   DomainName Domain;
   RegionName Region;
-  std::uint64_t Born = 0; ///< Of its start; a restart may keep the name.
+  std::uint64_t Born = 0; ///< Changes with a restart, which may keep the name.
   std::uint32_t Slots = 1;
   bool Leaving = false;
   bool ClaimsPrimary = false;
--- a/src/proxy/gone_members.cpp
+++ b/src/proxy/gone_members.cpp
@@ -7,7 +7,7 @@
 
 std::vector<VmName> GoneMembers::update(const std::vector<VmName> &listed,
                                         const std::vector<Member> &live,
-                                        bool holdsDuty, TimePoint now) {
+                                        bool isLeader, TimePoint now) {
   std::set<VmName> alive;
   for (const auto &it : live)
     alive.insert(it.Vm);
@@ -19,8 +19,8 @@
     auto before = MissingSince.find(it);
     auto since = before == MissingSince.end() ? now : before->second;
     next[it] = since;
-    if (holdsDuty && now - since >= limits::DaemonGone &&
-        out.size() < limits::MostRemoved)
+    if (isLeader && now - since >= limits::DaemonGoneAfter &&
+        out.size() < limits::MaxRemoved)
       out.push_back(it);
   }
   MissingSince = std::move(next);
--- a/src/proxy/group_view.cpp
+++ b/src/proxy/group_view.cpp
@@ -4,20 +4,20 @@
 
 namespace peridotfall::proxy {
 
-void GroupView::takeEntries(const std::vector<TargetEntry> &targets) {
+void GroupView::updateEntries(const std::vector<TargetEntry> &targets) {
   std::map<TargetName, Claim> next;
   const TargetEntry *newest = nullptr;
   for (const auto &it : targets) {
     auto before = Claims.find(it.Name);
     bool known = before != Claims.end() && before->second.Born == it.Born;
-    bool news = it.ClaimsPrimary && !(known && before->second.Leads);
+    bool isNewClaim = it.ClaimsPrimary && !(known && before->second.Leads);
     next[it.Name] = {it.ClaimsPrimary, it.Revision, it.Born};
-    if (news && (!newest || newest->Revision < it.Revision))
+    if (isNewClaim && (!newest || newest->Revision < it.Revision))
       newest = &it;
-    // A process that started anew leads nothing that it led before.
-    bool reborn = before != Claims.end() && !known;
-    bool gaveUp = known && before->second.Leads && !it.ClaimsPrimary;
-    if (Leader == it.Name && (reborn || gaveUp))
+    // A target that was restarted does not lead until it claims to.
+    bool restarted = before != Claims.end() && !known;
+    bool withdrewClaim = known && before->second.Leads && !it.ClaimsPrimary;
+    if (Leader == it.Name && (restarted || withdrewClaim))
       Leader.reset();
   }
   Claims = std::move(next);
@@ -27,21 +27,21 @@
     Leader = newest->Name;
 }
 
-bool GroupView::noteLead(const TargetName &target, Position head,
-                         TimePoint asked) {
-  // The answer of a primary that has been replaced meanwhile.
+bool GroupView::noteLeading(const TargetName &target, Position head,
+                            TimePoint sent) {
+  // The answer of a primary that has since been replaced.
   if (head.InTerm < LeaderTerm)
     return false;
   bool changed = Leader != target;
-  // What the old leader had last may be missing in this one's log.
-  if (!Samples.empty() && SampledAt != target)
+  // The old leader's last records may be missing from this one's log.
+  if (!Samples.empty() && SampledLeader != target)
     Samples.clear();
-  SampledAt = target;
+  SampledLeader = target;
   Leader = target;
   LeaderTerm = head.InTerm;
-  Proof = std::max(Proof.value_or(asked), asked);
-  if (Samples.empty() || asked - Samples.back().Asked >= limits::HeadSpacing)
-    Samples.push_back({asked, head});
+  ConfirmedAt = std::max(ConfirmedAt.value_or(sent), sent);
+  if (Samples.empty() || sent - Samples.back().SentAt >= limits::HeadSpacing)
+    Samples.push_back({sent, head});
   if (Samples.size() > limits::HeadSamples)
     Samples.pop_front();
   return changed;
@@ -61,7 +61,7 @@
 std::optional<Position> GroupView::positionFor(Duration maxAge,
                                                TimePoint now) const {
   auto it = std::find_if(Samples.begin(), Samples.end(), [&](const auto &s) {
-    return s.Asked + maxAge >= now;
+    return s.SentAt + maxAge >= now;
   });
   if (it == Samples.end())
     return std::nullopt;
@@ -71,12 +71,13 @@
 Duration GroupView::ageOf(Position at, TimePoint now) const {
   if (Samples.empty())
     return {};
-  // All that was in the log when a head no later than this was asked for.
-  auto held = Samples.front().Asked;
+  // The view includes all that was acknowledged before the query that returned
+  // the last head not beyond it.
+  auto upToDateAt = Samples.front().SentAt;
   for (const auto &it : Samples)
     if (it.Head <= at)
-      held = it.Asked;
-  return Samples.back().Head <= at ? Duration{} : now - held;
+      upToDateAt = it.SentAt;
+  return Samples.back().Head <= at ? Duration{} : now - upToDateAt;
 }
 
 } // namespace peridotfall::proxy
--- a/src/proxy/group_view.h
+++ b/src/proxy/group_view.h
@@ -1,6 +1,6 @@
 /// \file
-/// What one daemon knows of a group: which target leads, and how far its log
-/// had come at which time.
+/// One daemon's view of a group: its leader, and the leader's log positions
+/// over time.
 
 #ifndef PERIDOTFALL_PROXY_GROUP_VIEW_H
 #define PERIDOTFALL_PROXY_GROUP_VIEW_H
@@ -16,36 +16,37 @@
 
 namespace limits {
 
-/// Positions remembered of a log's head, and the least time between two.
-/// Reason: 128 at 25 ms cover 3.2 s, more than the longest staleness bound.
+/// Samples kept of the log head, and the minimum time between two of them.
+/// 128 at 25 ms cover 3.2 s, more than the longest staleness bound.
 inline constexpr std::size_t HeadSamples = 128;
 inline constexpr milliseconds HeadSpacing{25};
 
 } // namespace limits
 
-/// Not synchronised. Times are of a clock that counts suspended time: a
-/// position seen before a suspension is as old as callers think it is.
+/// Not synchronised. The clock must include suspended time, so that the age of
+/// a position seen before a suspension is its real age.
 class GroupView {
 public:
-  /// Takes the platform's list. It is a hint of who leads: a change of an
-  /// entry's claim is newer than what was believed, an old claim is not.
-  void takeEntries(const std::vector<TargetEntry> &targets);
-  /// A statement that only a primary runs has succeeded.
-  /// \param asked when it was sent: what was acknowledged before is in \p head.
+  /// Updates the view from the platform's list. An entry's claim to lead is
+  /// only a hint: a new claim replaces the known leader, an old one does not.
+  void updateEntries(const std::vector<TargetEntry> &targets);
+  /// Call when a statement that only a primary runs has succeeded.
+  /// \param sent when it was sent; \p head includes every commit that was
+  /// acknowledged before.
   /// \return whether the leader changed.
-  bool noteLead(const TargetName &target, Position head, TimePoint asked);
-  /// The target said that it does not lead.
+  bool noteLeading(const TargetName &target, Position head, TimePoint sent);
+  /// Call when the target answered that it is not the primary.
   void noteNotLeading(const TargetName &target);
 
   const std::optional<TargetName> &leader() const { return Leader; }
   Term term() const { return LeaderTerm; }
-  std::optional<TimePoint> lastProof() const { return Proof; }
-  /// \return the newest position seen of a primary's log.
+  std::optional<TimePoint> lastProof() const { return ConfirmedAt; }
+  /// \return the last position seen of the primary's log.
   std::optional<Position> lastHead() const;
-  /// \return the least position that holds all that was acknowledged longer
-  /// than \p maxAge ago; nothing when no position is known young enough.
+  /// \return the lowest known position that includes every commit acknowledged
+  /// longer than \p maxAge ago; empty if all samples are older than that.
   std::optional<Position> positionFor(Duration maxAge, TimePoint now) const;
-  /// \return how old a view is at most that holds the log up to \p at.
+  /// \return the maximum age of a view that includes the log up to \p at.
   Duration ageOf(Position at, TimePoint now) const;
 
 private:
@@ -55,16 +56,16 @@
     std::uint64_t Born = 0;
   };
   struct HeadSample {
-    TimePoint Asked;
+    TimePoint SentAt;
     Position Head;
   };
 
   std::map<TargetName, Claim> Claims;
   std::optional<TargetName> Leader;
   Term LeaderTerm = 0;
-  std::optional<TimePoint> Proof;
+  std::optional<TimePoint> ConfirmedAt;
   std::deque<HeadSample> Samples;
-  TargetName SampledAt;
+  TargetName SampledLeader;
 };
 
 } // namespace peridotfall::proxy
--- a/src/proxy/groups.cpp
+++ b/src/proxy/groups.cpp
@@ -17,12 +17,12 @@
   return a.Born == b.Born && a.Address == b.Address && a.Group == b.Group;
 }
 
-/// One use of a path, counted as long as it lasts. It ends with its answer, or
-/// when nobody waits for that any more.
+/// Counts one use of a path, until its answer arrives or its callback is
+/// destroyed.
 class PathUse {
 public:
-  PathUse(const std::shared_ptr<PathBook> &book, TargetName target, VmName by)
-      : Book(book), Target(std::move(target)), By(std::move(by)) {
+  PathUse(const std::shared_ptr<PathTable> &table, TargetName target, VmName by)
+      : SharedPaths(table), Target(std::move(target)), By(std::move(by)) {
     if (auto *it = paths())
       it->started(By);
   }
@@ -36,27 +36,27 @@
   void end(bool failed, TimePoint now) {
     if (auto *it = paths())
       it->ended(By, failed, now);
-    Book.reset();
+    SharedPaths.reset();
   }
 
 private:
   Paths *paths() {
-    auto book = Book.lock();
-    if (!book)
+    auto table = SharedPaths.lock();
+    if (!table)
       return nullptr;
-    auto it = book->find(Target);
-    return it == book->end() ? nullptr : &it->second;
+    auto it = table->find(Target);
+    return it == table->end() ? nullptr : &it->second;
   }
 
-  std::weak_ptr<PathBook> Book;
+  std::weak_ptr<PathTable> SharedPaths;
   TargetName Target;
   VmName By;
 };
 
-/// \return whether a success of it shows that the target leads.
-/// A plain transaction's statements do, and its commit only if it wrote; a
-/// lone read does not.
-bool provesLead(const Statement &it, bool plain) {
+/// \return whether the success of a statement shows that the target is the
+/// primary. Statements of a plain transaction do, its commit only if it wrote.
+/// A read outside a transaction does not.
+bool provesLeader(const Statement &it, bool plain) {
   if (it.Kind == StatementKind::Begin)
     return true;
   if (it.Kind == StatementKind::Write)
@@ -68,18 +68,22 @@
 }
 
 /// A transaction that is begun and rolled back takes no slot, and its answer
-/// tells the target's position.
-Batch questionOf(StatementKind beginning) {
+/// contains the target's position.
+Batch queryBatch(StatementKind beginning) {
   Batch out;
   out.Statements = {ownStatement(beginning),
                     ownStatement(StatementKind::Rollback)};
   out.EndsLease = true;
-  out.Patience = limits::LeadCheckLimit;
+  out.Patience = limits::LeaderQueryTimeout;
   return out;
 }
 
-LeaseRequest questionTo(const TargetName &target) {
-  return {target, 0, limits::LeadCheckLimit, 2 * limits::LeadCheckLimit, {}};
+LeaseRequest queryRequest(const TargetName &target) {
+  return {target,
+          0,
+          limits::LeaderQueryTimeout,
+          2 * limits::LeaderQueryTimeout,
+          {}};
 }
 
 } // namespace
@@ -115,7 +119,7 @@
     }
     telemetry::log(Event::TargetGone, {field("target", it->first.Value),
                                        field("replaced", gone ? "no" : "yes")});
-    // Another process serves at the address: what runs there is not ours.
+    // If another process has replaced the target, its connections are invalid.
     auto pool = std::move(it->second);
     it = Pools.erase(it);
     if (gone)
@@ -148,7 +152,7 @@
     if (!group)
       group = std::make_unique<Group>(++Seed);
     auto before = group->View.leader();
-    group->View.takeEntries(entries);
+    group->View.updateEntries(entries);
     group->Targets = std::move(entries);
     auto after = group->View.leader();
     if (before != after)
@@ -159,7 +163,7 @@
     if (after && before != after && OnLeader)
       OnLeader(name);
   }
-  share();
+  assignConnections();
 }
 
 void Groups::takeSettings(const std::map<GroupName, GroupSettings> &settings) {
@@ -169,19 +173,19 @@
       group = std::make_unique<Group>(++Seed);
     group->Settings = it;
   }
-  share();
+  assignConnections();
 }
 
 void Groups::setMembers(const std::vector<Member> &live) {
   Live = live;
-  share();
+  assignConnections();
 }
 
-/// Load: many daemons before targets with few connections. The daemons that
-/// rank first for a target, those of its failure domain before others, hold
-/// its connections; all others reach it by them.
-void Groups::share() {
-  std::erase_if(Ways,
+/// There may be more daemons than a target accepts connections. The daemons
+/// that rank first for a target, those of its failure domain before others,
+/// hold its connections; all others reach it through them.
+void Groups::assignConnections() {
+  std::erase_if(PathsByTarget,
                 [&](const auto &it) { return !Pools.contains(it.first); });
   for (auto &[name, pool] : Pools) {
     const auto &target = pool->target();
@@ -197,7 +201,7 @@
     bool holds =
         std::find(holders.begin(), holders.end(), Self.Vm) != holders.end();
     pool->setCapacity(holds ? plan.Connections : 0, plan.Running);
-    Ways[name].setHolders(holders);
+    PathsByTarget[name].setHolders(holders);
   }
 }
 
@@ -211,35 +215,35 @@
   return nullptr;
 }
 
-VmName Groups::pathTo(const TargetName &target) {
-  auto ways = Ways.find(target);
+VmName Groups::choosePath(const TargetName &target) {
+  auto paths = PathsByTarget.find(target);
   auto *here = pool(target);
-  if (ways == Ways.end() || !here)
+  if (paths == PathsByTarget.end() || !here)
     return Self.Vm;
-  return ways->second.choose(Self.Vm, here->isFree()).value_or(Self.Vm);
+  return paths->second.choose(Self.Vm, here->isFree()).value_or(Self.Vm);
 }
 
 LeaseId Groups::begin(const LeaseRequest &request, Batch first, OnBatch done) {
-  return beginBy(pathTo(request.Target), request, std::move(first),
-                 std::move(done));
+  return beginVia(choosePath(request.Target), request, std::move(first),
+                  std::move(done));
 }
 
-LeaseId Groups::beginBy(const VmName &by, const LeaseRequest &request,
-                        Batch first, OnBatch done) {
+LeaseId Groups::beginVia(const VmName &by, const LeaseRequest &request,
+                         Batch first, OnBatch done) {
   auto target = request.Target;
-  auto use = std::make_shared<PathUse>(Book, target, by);
-  auto counted = [this, use, done](BatchResult result) {
+  auto use = std::make_shared<PathUse>(SharedPaths, target, by);
+  auto recordEnd = [this, use, done](BatchResult result) {
     use->end(result.TargetUnreachable, Time.now());
     if (done)
       done(std::move(result));
   };
   if (by == Self.Vm && pool(target))
-    return beginHere(request, std::move(first), counted);
+    return beginHere(request, std::move(first), recordEnd);
   LeaseId lease{++LastLease};
   if (by == Self.Vm)
-    endLater(counted);
+    failLater(recordEnd);
   else
-    Relay.begin(by, lease, request, std::move(first), counted);
+    Relay.begin(by, lease, request, std::move(first), recordEnd);
   return lease;
 }
 
@@ -257,13 +261,15 @@
   else if (auto *it = poolOf(lease))
     it->run(lease, std::move(next), std::move(done));
   else
-    endLater(std::move(done));
+    failLater(std::move(done));
 }
 
-/// A connection that broke between two statements of a transaction had nobody
-/// to tell. The batch that finds it gone must be answered, and not from within
-/// the call.
-void Groups::endLater(OnBatch done) { Ending.push_back(std::move(done)); }
+/// When a connection breaks between two statements of a transaction, no batch
+/// is pending to be told. The next batch must be answered, but not from within
+/// the call that starts it.
+void Groups::failLater(OnBatch done) {
+  UnservedBatches.push_back(std::move(done));
+}
 
 void Groups::abandon(LeaseId lease) {
   if (Relay.owns(lease))
@@ -279,8 +285,8 @@
 
 std::optional<TimePoint>
 Groups::unreachableSince(const TargetName &target) const {
-  auto it = Ways.find(target);
-  if (it == Ways.end())
+  auto it = PathsByTarget.find(target);
+  if (it == PathsByTarget.end())
     return std::nullopt;
   return it->second.unreachableSince();
 }
@@ -303,14 +309,15 @@
   if (it == Targets.end())
     return std::nullopt;
   if (it->second.Leaving && group.LeavingSince &&
-      !mayWorkLeaving(Time.now() - *group.LeavingSince))
+      !acceptsWorkWhileLeaving(Time.now() - *group.LeavingSince))
     return std::nullopt;
   return leader;
 }
 
-/// At first a write may be missing in the primary's successor. Where none can
-/// be found the primary serves on, until the limit of a leaving target.
-bool Groups::mayWorkLeaving(Duration leaving) const {
+/// At first writes are held, since one may be missing from the new primary's
+/// log. If no new primary is found in that time, the old one accepts work again
+/// until the limit for a leaving target.
+bool Groups::acceptsWorkWhileLeaving(Duration leaving) const {
   return leaving >= limits::HandoverHold &&
          leaving < LeavingLimit - limits::LeavingReserve;
 }
@@ -342,12 +349,12 @@
   for (std::size_t n = 0; n < result.Answers.size(); ++n) {
     const auto &statement = batch.Statements[n];
     const auto &answer = result.Answers[n];
-    // Behind a refused beginning the target runs statements by themselves.
+    // After a refused Begin the target runs statements outside a transaction.
     if (statement.Kind == StatementKind::Begin && !answer.ok())
       plain = false;
-    bool lead = provesLead(statement, plain);
-    if (lead && answer.ok() && answer.At) {
-      group.View.noteLead(target, *answer.At, sent);
+    bool provesLead = provesLeader(statement, plain);
+    if (provesLead && answer.ok() && answer.At) {
+      group.View.noteLeading(target, *answer.At, sent);
       group.Reads.noteHead(*answer.At, Time.now());
     }
     if (answer.Error && answer.Error->Kind == ErrorKind::ReadOnly)
@@ -362,32 +369,32 @@
                   field("target", after ? after->Value : "none"),
                   field("term", group.View.term()), field("by", "answer"),
                   field("from", target.Value)});
-  group.NextLeadCheck = Time.now();
+  group.NextLeaderQuery = Time.now();
   if (after && OnLeader)
     OnLeader(name);
 }
 
-void Groups::askLead(const TargetName &target) {
-  askLeadBy(pathTo(target), target);
+void Groups::queryLeader(const TargetName &target) {
+  queryLeaderVia(choosePath(target), target);
 }
 
-/// A plain transaction is refused by a target that does not lead, so beginning
-/// one asks who leads and how far the log is.
-void Groups::askLeadBy(const VmName &by, const TargetName &target) {
+/// Only the primary accepts a plain transaction, so the answer to Begin shows
+/// whether the target leads, and its log head.
+void Groups::queryLeaderVia(const VmName &by, const TargetName &target) {
   const auto *it = entry(target);
   if (!it || it->Leaving)
     return;
-  auto batch = questionOf(StatementKind::Begin);
+  auto batch = queryBatch(StatementKind::Begin);
   auto learned = [this, group = it->Group, target, batch,
                   sent = Time.now()](const BatchResult &out) {
     if (auto *found = find(group))
       learn(*found, target, batch, out, true, sent);
   };
-  beginBy(by, questionTo(target), batch, learned);
+  beginVia(by, queryRequest(target), batch, learned);
 }
 
-void Groups::askApplied(Group &group, TimePoint now) {
-  group.NextAppliedCheck = now + limits::AppliedCheckPause;
+void Groups::queryApplied(Group &group, TimePoint now) {
+  group.NextAppliedQuery = now + limits::AppliedQueryPause;
   for (const auto &it : group.Targets) {
     bool isReplica = group.View.leader() != it.Name;
     if (!isReplica || !isUsable(it.Name) ||
@@ -400,7 +407,7 @@
         return;
       found->Reads.noteApplied(target, *out.Answers[0].At, Time.now());
     };
-    begin(questionTo(it.Name), questionOf(StatementKind::BeginRead), learned);
+    begin(queryRequest(it.Name), queryBatch(StatementKind::BeginRead), learned);
   }
 }
 
@@ -413,12 +420,12 @@
   return group;
 }
 
-/// A path that failed gets no work; questions find out when it is back.
-void Groups::probePaths() {
+/// A failed path gets no work; leader queries detect when it works again.
+void Groups::probeFailedPaths() {
   auto now = Time.now();
-  for (auto &[target, ways] : Ways)
-    for (const auto &by : ways.probesDue(now))
-      askLeadBy(by, target);
+  for (auto &[target, paths] : PathsByTarget)
+    for (const auto &by : paths.probesDue(now))
+      queryLeaderVia(by, target);
 }
 
 void Groups::tickGroup(Group &group, TimePoint now) {
@@ -435,19 +442,19 @@
   else if (!group.LeavingSince)
     group.LeavingSince = now;
   bool used = group.UsedAt && now - *group.UsedAt < limits::GroupIdle;
-  if (used && now >= group.NextAppliedCheck)
-    askApplied(group, now);
-  if (now < group.NextLeadCheck)
+  if (used && now >= group.NextAppliedQuery)
+    queryApplied(group, now);
+  if (now < group.NextLeaderQuery)
     return;
   auto proof = group.View.lastProof();
   if (missing || leaving) {
-    group.NextLeadCheck = now + limits::LeadCheckPause;
+    group.NextLeaderQuery = now + limits::LeaderQueryPause;
     for (const auto &target : group.Targets)
       if (!unreachableSince(target.Name))
-        askLead(target.Name);
-  } else if (used && (!proof || now - *proof > limits::HeadRefresh)) {
-    group.NextLeadCheck = now + limits::HeadRefresh / 2;
-    askLead(*leader);
+        queryLeader(target.Name);
+  } else if (used && (!proof || now - *proof > limits::MaxHeadAge)) {
+    group.NextLeaderQuery = now + limits::MaxHeadAge / 2;
+    queryLeader(*leader);
   }
 }
 
@@ -465,18 +472,18 @@
 
 void Groups::tick() {
   auto now = Time.now();
-  for (auto &it : std::exchange(Ending, {})) {
-    BatchResult gone;
-    gone.Why = {ErrorKind::Busy, "the connection is gone"};
+  for (auto &it : std::exchange(UnservedBatches, {})) {
+    BatchResult failed;
+    failed.Why = {ErrorKind::Busy, "the connection is gone"};
     if (it)
-      it(std::move(gone));
+      it(std::move(failed));
   }
   for (auto &[name, it] : Pools)
     it->tick();
   for (auto &it : Retired)
     it->tick();
   std::erase_if(Retired, [](const auto &it) { return it->isUnused(); });
-  probePaths();
+  probeFailedPaths();
   for (auto &[name, group] : ByName)
     tickGroup(*group, now);
 }
--- a/src/proxy/groups.h
+++ b/src/proxy/groups.h
@@ -1,6 +1,6 @@
 /// \file
-/// The groups of targets as one daemon uses them: connections, who leads,
-/// where a read goes.
+/// The groups of targets as one daemon sees them: connections, primaries and
+/// where reads can be sent.
 
 #ifndef PERIDOTFALL_PROXY_GROUPS_H
 #define PERIDOTFALL_PROXY_GROUPS_H
@@ -19,32 +19,33 @@
 
 namespace limits {
 
-/// Between two questions of a group who leads, while nobody is known to.
-inline constexpr milliseconds LeadCheckPause{100};
-/// A group that is in use is asked for its log's head when the last proof of
-/// it is older than this. Reason: a third of the shortest usual staleness
-/// bound of 1.5 s, so that one lost question costs no read its replica.
-inline constexpr milliseconds HeadRefresh{500};
-/// A replica that is behind by so much or more gets few reads or none, so that
-/// its answers do not tell when it has caught up: it is asked for its position,
-/// with this pause between.
+/// Between two leader queries to a group whose primary is unknown.
+inline constexpr milliseconds LeaderQueryPause{100};
+/// The log head of a group in use is queried when the last confirmation is
+/// older than this. A third of the shortest usual staleness bound of 1.5 s, so
+/// that one lost query does not keep reads from their replica.
+inline constexpr milliseconds MaxHeadAge{500};
+/// A replica that lags by this much or more gets few reads or none, so its
+/// answers do not show when it has caught up. Its position is queried instead,
+/// at intervals of AppliedQueryPause.
 inline constexpr milliseconds LargeLag{500};
-inline constexpr milliseconds AppliedCheckPause{250};
-/// A group that nobody asked for so long is not in use.
+inline constexpr milliseconds AppliedQueryPause{250};
+/// A group without requests for this long is not in use.
 inline constexpr milliseconds GroupIdle{5'000};
-/// Longest run of a question; far above a round trip of 16 ms.
-inline constexpr milliseconds LeadCheckLimit{300};
-/// After a planned hand-over began, writes are held until a new primary is
-/// known, for this long at most. A promotion takes 0.3 to 1 s.
+/// Of one query; far above a round trip of 16 ms.
+inline constexpr milliseconds LeaderQueryTimeout{300};
+/// Longest time that writes are held during a planned hand-over, until a new
+/// primary is known. A promotion takes 0.3 to 1 s.
 inline constexpr milliseconds HandoverHold{2'500};
-/// Time in which a leaving target may get new work, where no setting names it;
-/// and the part of it that its notice and the last work may travel.
+/// Time in which a leaving target may get new work if no setting gives it, and
+/// the part of that time reserved for the announcement of leaving and the last
+/// work to reach their recipients.
 inline constexpr milliseconds LeavingLimit{7'000};
 inline constexpr milliseconds LeavingReserve{1'000};
 
 } // namespace limits
 
-/// Where this daemon stands.
+/// The VM, failure domain and region of this daemon.
 struct Place {
   VmName Vm;
   DomainName Domain;
@@ -53,11 +54,11 @@
   auto operator<=>(const Place &) const = default;
 };
 
-/// Leases of connections that other daemons hold.
+/// Runs leases on connections held by other daemons.
 class RelayPort {
 public:
   virtual ~RelayPort() = default;
-  /// \param lease this daemon's id of it.
+  /// \param lease id that this daemon assigned to it.
   virtual void begin(const VmName &holder, LeaseId lease,
                      const LeaseRequest &request, Batch first,
                      OnBatch done) = 0;
@@ -66,7 +67,8 @@
   virtual bool owns(LeaseId lease) const = 0;
 };
 
-using PathBook = std::map<TargetName, Paths>;
+/// For each target, the connection holders through which it is reached.
+using PathTable = std::map<TargetName, Paths>;
 
 struct Group {
   explicit Group(std::uint64_t seed) : Reads(seed) {}
@@ -76,56 +78,59 @@
   Placement Reads;
   std::vector<TargetEntry> Targets;
   std::optional<TimePoint> UsedAt;
-  TimePoint NextLeadCheck{};
-  TimePoint NextAppliedCheck{};
-  std::optional<TimePoint> LeaderMissing; ///< Since when nobody leads.
-  std::optional<TimePoint> LeavingSince;  ///< The primary's draining was seen.
+  TimePoint NextLeaderQuery{};
+  TimePoint NextAppliedQuery{};
+  /// When the primary became unknown or unreachable.
+  std::optional<TimePoint> LeaderMissing;
+  /// When the primary was first seen as leaving.
+  std::optional<TimePoint> LeavingSince;
 };
 
-/// What a lease of a pool was used for is reported here, so that beliefs
-/// follow from answers. Not synchronised.
+/// Routes leases to the target pools and updates the state of groups from the
+/// answers that are passed to handleAnswers(). Not synchronised.
 class Groups final : public LeaseHost {
 public:
   Groups(Place self, TargetPort &port, RelayPort &relay, const Clock &clock);
 
-  /// Takes the platform's list, whole.
+  /// \param targets the platform's complete list.
   void takeTargets(const TargetList &targets);
   void takeSettings(const std::map<GroupName, GroupSettings> &settings);
   /// \param limit time in which a leaving target may get new work.
   void setLeavingLimit(milliseconds limit) { LeavingLimit = limit; }
-  /// \param live daemons, that share the targets' connections.
+  /// \param live daemons among which the targets' connections are divided.
   void setMembers(const std::vector<Member> &live);
 
   LeaseId begin(const LeaseRequest &request, Batch first,
                 OnBatch done) override;
   void run(LeaseId lease, Batch next, OnBatch done) override;
   void abandon(LeaseId lease) override;
-  /// The same for a connection that this daemon holds; for other daemons.
-  /// \return an invalid id where the target is not known.
+  /// Begins a lease on a connection held by this daemon, for another daemon.
+  /// \return an invalid id if the target is unknown.
   LeaseId beginHere(const LeaseRequest &request, Batch first, OnBatch done);
-  /// \return whether a lease is held here with no batch under way.
+  /// \return whether this daemon holds the lease and no batch is in progress.
   bool isHeldHere(LeaseId lease);
 
   TargetPool *pool(const TargetName &target);
   Group *find(const GroupName &name);
   std::map<GroupName, std::unique_ptr<Group>> &all() { return ByName; }
-  /// Marks a group as used, and asks for its log's head when none is fresh.
+  /// Marks a group as used, so that tick() keeps its log head fresh.
   Group *use(const GroupName &name);
-  /// \return the primary that may take new work now; nothing: hold it.
+  /// \return the primary that accepts new work now; empty if writes must wait.
   std::optional<TargetName> writable(const Group &group) const;
-  /// \return whether a target can be asked at all.
+  /// \return whether a target is known, reachable and not leaving.
   bool isUsable(const TargetName &target) const;
-  /// \return since when no daemon could reach the target for this one.
+  /// \return since when all paths to the target have failed; empty if one
+  /// works.
   std::optional<TimePoint> unreachableSince(const TargetName &target) const;
   const TargetEntry *entry(const TargetName &target) const;
   std::vector<Candidate> candidates(const Group &group);
-  /// Learns from the answers of a batch who leads and how far the log is.
-  /// \param plain whether the batch's transaction is one that may write.
+  /// Updates the group's leader and log positions from the answers of a batch.
+  /// \param plain whether the batch's transaction may write.
   void learn(Group &group, const TargetName &target, const Batch &batch,
              const BatchResult &result, bool plain, TimePoint sent);
-  /// Called with how long each lease has waited for a connection here.
+  /// Called with the time that each lease waited for a connection here.
   std::function<void(Duration)> OnWaited;
-  /// Called whenever a group's leader becomes known.
+  /// Called when a group's leader becomes known.
   std::function<void(const GroupName &)> OnLeader;
   void tick();
   /// \return the sums over all targets.
@@ -142,21 +147,21 @@
   }
 
 private:
-  /// \return by which daemon the target is asked now.
-  VmName pathTo(const TargetName &target);
-  LeaseId beginBy(const VmName &by, const LeaseRequest &request, Batch first,
-                  OnBatch done);
-  /// Ends a batch at the next tick: there is no connection for it.
-  void endLater(OnBatch done);
-  /// \param leaving time since the primary's notice.
-  bool mayWorkLeaving(Duration leaving) const;
-  void askLead(const TargetName &target);
-  /// Asks the replicas that are known to be behind what they have applied.
-  void askApplied(Group &group, TimePoint now);
-  void askLeadBy(const VmName &by, const TargetName &target);
+  /// \return the connection holder to use for the target now.
+  VmName choosePath(const TargetName &target);
+  LeaseId beginVia(const VmName &by, const LeaseRequest &request, Batch first,
+                   OnBatch done);
+  /// Fails a batch that has no connection, at the next tick.
+  void failLater(OnBatch done);
+  /// \param leaving time since the primary was first seen as leaving.
+  bool acceptsWorkWhileLeaving(Duration leaving) const;
+  void queryLeader(const TargetName &target);
+  /// Queries the applied positions of replicas that are known to lag.
+  void queryApplied(Group &group, TimePoint now);
+  void queryLeaderVia(const VmName &by, const TargetName &target);
   void tickGroup(Group &group, TimePoint now);
-  void probePaths();
-  void share();
+  void probeFailedPaths();
+  void assignConnections();
   Distance distanceTo(const TargetEntry &target) const;
   TargetPool *poolOf(LeaseId lease);
 
@@ -167,14 +172,14 @@
   milliseconds LeavingLimit = limits::LeavingLimit;
   std::vector<Member> Live;
   std::uint64_t LastLease = 0;
-  std::vector<OnBatch> Ending;
+  std::vector<OnBatch> UnservedBatches;
   std::uint64_t Seed = 1;
   TargetList Targets;
   std::map<TargetName, std::unique_ptr<TargetPool>> Pools;
-  /// Shared with what is under way, which may end after this.
-  std::shared_ptr<PathBook> Book = std::make_shared<PathBook>();
-  PathBook &Ways = *Book;
-  /// Of targets that are gone, until their last lease has ended.
+  /// Shared with leases in progress, which may outlive this object.
+  std::shared_ptr<PathTable> SharedPaths = std::make_shared<PathTable>();
+  PathTable &PathsByTarget = *SharedPaths;
+  /// Pools of removed targets, until their last lease has ended.
   std::vector<std::unique_ptr<TargetPool>> Retired;
   std::map<GroupName, std::unique_ptr<Group>> ByName;
 };
--- a/src/proxy/lease.h
+++ b/src/proxy/lease.h
@@ -1,7 +1,7 @@
 /// \file
-/// The use of one target connection: for a single statement, or for all of a
-/// transaction. A lease runs batches, one at a time; each batch is answered as
-/// a whole, so that it can be run here or by another daemon alike.
+/// Exclusive use of one target connection, for a single statement or for a
+/// whole transaction. A lease runs one batch at a time. Each batch is answered
+/// as a whole, so that this daemon or another one can run it.
 
 #ifndef PERIDOTFALL_PROXY_LEASE_H
 #define PERIDOTFALL_PROXY_LEASE_H
@@ -18,13 +18,13 @@
 
 using LeaseId = Handle<struct LeaseTag>;
 
-/// Statements that go out in one write. At most one of them is the caller's.
+/// Statements sent in one write. At most one of them is the caller's.
 struct Batch {
-  Values Session; ///< Must hold on the connection.
-  std::vector<Prepared> Needs;
+  Values Session;              ///< Session values to be set on the connection.
+  std::vector<Prepared> Needs; ///< To be prepared on the connection.
   std::vector<Statement> Statements;
-  bool EndsLease = false; ///< Once it is answered.
-  Duration Patience{};    ///< Longest wait for the answers once sent.
+  bool EndsLease = false; ///< Once the batch is answered.
+  Duration Patience{};    ///< For the answers, once the batch is sent.
 
   auto operator<=>(const Batch &) const = default;
 };
@@ -32,10 +32,10 @@
 struct LeaseRequest {
   TargetName Target;
   unsigned Priority = 0; ///< 0 is served first.
-  Duration Wait{};       ///< Longest for a connection.
-  Duration Total{};      ///< Longest for connection and answers.
-  /// Left until its answer is of little use to the caller, which may be over
-  /// already; nothing: it never is.
+  Duration Wait{};       ///< Longest wait for a connection.
+  Duration Total{};      ///< Longest wait for connection and answers.
+  /// Time left until an answer is of little use to the caller; zero or less if
+  /// that is over, empty if there is no such limit.
   std::optional<Duration> GoalLeft;
 
   auto operator<=>(const LeaseRequest &) const = default;
@@ -43,26 +43,26 @@
 
 enum class BatchEnd : std::uint8_t {
   Whole,  ///< Every statement was answered.
-  NotRun, ///< No byte of it left.
-  Lost,   ///< The connection broke or was silent; the answers that came stand.
+  NotRun, ///< Nothing was sent.
+  Lost,   ///< The connection broke or timed out; answers so far are valid.
 };
 
 struct BatchResult {
   BatchEnd End = BatchEnd::NotRun;
   std::vector<Answer> Answers; ///< In the order of the statements.
-  StatementError Why;          ///< Unless whole.
-  bool Kept = false;           ///< The lease goes on.
-  /// It was not the target's answer but its silence that ended it, or that of
-  /// the daemon which holds its connections.
+  StatementError Why;          ///< Unless every statement was answered.
+  bool Kept = false;           ///< The lease continues.
+  /// The batch failed because the target or its connection holder did not
+  /// answer.
   bool TargetUnreachable = false;
-  /// Not run, because more waits for the target than it runs in the time that
-  /// this one could have waited.
+  /// Not run, because the queue for the target is longer than it can process
+  /// within this request's wait.
   bool QueueFull = false;
 
   auto operator<=>(const BatchResult &) const = default;
 };
 
-/// Called once for each batch, never before the call that began it returned.
+/// Called once for each batch, after the call that starts it has returned.
 using OnBatch = std::function<void(BatchResult)>;
 
 class LeaseHost {
@@ -70,9 +70,10 @@
   virtual ~LeaseHost() = default;
   virtual LeaseId begin(const LeaseRequest &request, Batch first,
                         OnBatch done) = 0;
-  /// Of a lease that was kept.
+  /// Runs the next batch of a lease that was kept.
   virtual void run(LeaseId lease, Batch next, OnBatch done) = 0;
-  /// Nobody waits for it any more: what is open is rolled back.
+  /// Ends a lease whose answers are no longer needed; an open transaction is
+  /// rolled back.
   virtual void abandon(LeaseId lease) = 0;
 };
 
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -11,13 +11,13 @@
 constexpr std::array<const char *, StatementOutcomes> OutcomeNames{
     "served", "target_error", "not_run", "unknown"};
 
-constexpr std::array<const char *, WaitPlaces> WaitNames{"primary", "replica",
-                                                         "slot", "connection"};
-constexpr std::array<const char *, ChangeParts> ChangeNames{
+constexpr std::array<const char *, WaitReasons> WaitReasonNames{
+    "primary", "replica", "slot", "connection"};
+constexpr std::array<const char *, ChangeParts> ChangePartNames{
     "notice", "evidence", "choice", "call", "lead"};
 
-/// Seconds. From a local read of a few milliseconds to the longest limit of a
-/// statement; a change of primary shows between 0.5 and 2.5.
+/// In seconds, from a local read of a few milliseconds to the longest statement
+/// limit. A change of primary is between 0.5 and 2.5.
 prometheus::Histogram::BucketBoundaries buckets() {
   return {0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2,
           0.3,   0.5,   0.8,  1.2,  2.5,  5.0};
@@ -45,8 +45,8 @@
   auto &to = *it.Registry;
   auto &statements =
       counters(to, "peridotfall_statements_total",
-               "Callers' statements that a target was needed for, by the "
-               "route's guarantee and outcome.");
+               "Callers' statements that needed a target, by the route's "
+               "guarantee and by outcome.");
   auto &seconds =
       histograms(to, "peridotfall_statement_duration_seconds",
                  "Time from a statement's arrival to its answer, by route.");
@@ -57,58 +57,57 @@
       it.Statements[route][n] = &statements.Add(
           {{"route", RouteNames[route]}, {"outcome", OutcomeNames[n]}});
   }
-  it.Refusals =
-      &counters(to, "peridotfall_refusals_total",
-                "Statements given up on that did not run, by reason.");
+  it.Refusals = &counters(to, "peridotfall_refusals_total",
+                          "Statements rejected without being run, by reason.");
   it.Retries =
       &counters(to, "peridotfall_retries_total",
-                "Tries after the first, by why the one before failed.");
+                "Attempts after the first, by why the previous one failed.");
   auto &reads = counters(to, "peridotfall_reads_total",
                          "Reads that ran, by the target's role.");
   it.ReplicaReads = &reads.Add({{"served_by", "replica"}});
   it.PrimaryReads = &reads.Add({{"served_by", "primary"}});
   it.ReplicaReadAge =
       &histograms(to, "peridotfall_replica_read_age_seconds",
-                  "Bound on how old the view of a read at a replica was.")
+                  "Upper bound on the age of the view of a read at a replica.")
            .Add({}, buckets());
-  it.RefusedWait =
-      &histograms(to, "peridotfall_refused_wait_seconds",
-                  "Time that a statement had waited when it was refused.")
-           .Add({}, buckets());
-  auto &waits = histograms(to, "peridotfall_wait_seconds",
-                           "Time that statements waited before a target had "
-                           "them, by what they waited for.");
-  for (std::size_t n = 0; n < WaitPlaces; ++n)
-    it.Waits[n] = &waits.Add({{"for", WaitNames[n]}}, buckets());
+  it.RefusedWait = &histograms(to, "peridotfall_refused_wait_seconds",
+                               "Time that a rejected statement had waited.")
+                        .Add({}, buckets());
+  auto &waits =
+      histograms(to, "peridotfall_wait_seconds",
+                 "Time that statements waited before they were sent to "
+                 "a target, by what they waited for.");
+  for (std::size_t n = 0; n < WaitReasons; ++n)
+    it.Waits[n] = &waits.Add({{"for", WaitReasonNames[n]}}, buckets());
   it.Answers = &counters(to, "peridotfall_target_answers_total",
-                         "Answers of targets to statements, by what they say; "
-                         "none: the connection was lost or silent.");
+                         "Answers of targets to statements, by result; "
+                         "none: the connection was lost or timed out.");
   it.AnswersOk = &it.Answers->Add({{"answer", "ok"}});
   auto &parts = histograms(to, "peridotfall_primary_change_seconds",
                            "Parts of the changes of primary that this daemon "
                            "decided.");
   for (std::size_t n = 0; n < ChangeParts; ++n)
-    it.ChangeSeconds[n] = &parts.Add({{"part", ChangeNames[n]}}, buckets());
+    it.ChangeSeconds[n] = &parts.Add({{"part", ChangePartNames[n]}}, buckets());
   it.Promotions = &counters(to, "peridotfall_promotions_total",
                             "Promotions that this daemon decided.")
                        .Add({});
-  it.RecordsLacked =
+  it.RecordsMissing =
       &counters(to, "peridotfall_promotion_records_lacked_total",
                 "Records of the last known head that promoted replicas had "
                 "not received.")
            .Add({});
-  it.StoreAnswers = &counters(
+  it.StoreCalls = &counters(
       to, "peridotfall_store_calls_total",
-      "Calls on the platform's store, by kind of objects and whether it "
+      "Calls to the platform's store, by kind of objects and whether it "
       "answered.");
-  it.CopyBytes = &counters(
+  it.SnapshotBytes = &counters(
       to, "peridotfall_copy_bytes_total",
-      "Bytes of copies of the store's objects, by kind: sent to other daemons; "
-      "received from them or from the store, given up on or not.");
-  it.Now = &prometheus::BuildGauge()
-                .Name("peridotfall_now")
-                .Help("Present values; the label says of what.")
-                .Register(to);
+      "Bytes of snapshots of the store's objects, by kind: sent to other "
+      "daemons; received from them or from the store, also if incomplete.");
+  it.PresentValues = &prometheus::BuildGauge()
+                          .Name("peridotfall_now")
+                          .Help("Present values, by name.")
+                          .Register(to);
   it.StoreAge = &prometheus::BuildGauge()
                      .Name("peridotfall_store_answer_age_seconds")
                      .Help("Time since the store last answered, by kind.")
@@ -158,7 +157,7 @@
 
 void countStoreCall(ProxyMetrics &it, const std::string &kind, StoreCall call,
                     bool answered) {
-  it.StoreAnswers
+  it.StoreCalls
       ->Add({{"kind", kind},
              {"call", call == StoreCall::Read ? "read" : "write"},
              {"answered", answered ? "yes" : "no"}})
@@ -167,7 +166,7 @@
 
 void countCopyBytes(ProxyMetrics &it, const std::string &kind, CopyFlow flow,
                     std::size_t bytes) {
-  it.CopyBytes
+  it.SnapshotBytes
       ->Add({{"kind", kind},
              {"flow", flow == CopyFlow::Sent ? "sent" : "received"}})
       .Increment(static_cast<double>(bytes));
@@ -175,7 +174,7 @@
 
 std::string writeText(ProxyMetrics &it, const ProxyGauges &now) {
   auto set = [&](const char *what, double value) {
-    it.Now->Add({{"of", what}}).Set(value);
+    it.PresentValues->Add({{"of", what}}).Set(value);
   };
   set("sessions", static_cast<double>(now.Sessions));
   set("target_connections_open", static_cast<double>(now.ConnectionsOpen));
--- a/src/proxy/metrics.h
+++ b/src/proxy/metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics of sessions and targets: a plain struct of handles.
+/// Metrics of sessions, targets, failover and the store.
 
 #ifndef PERIDOTFALL_PROXY_METRICS_H
 #define PERIDOTFALL_PROXY_METRICS_H
@@ -21,39 +21,39 @@
 
 enum class StatementOutcome : std::uint8_t {
   Served,
-  TargetError, ///< The target's own refusal or failure, passed on.
+  TargetError, ///< An error of the target, passed on to the caller.
   NotRun,
   Unknown,
 };
 inline constexpr std::size_t StatementOutcomes = 4;
 inline constexpr std::size_t Guarantees = 3;
 
-/// For what a statement waits before a target has it.
+/// What a statement waits for before it is sent to a target.
 enum class WaitPlace : std::uint8_t {
-  Primary,    ///< One that is known and reached.
-  Replica,    ///< To catch up with what the read must see.
-  Slot,       ///< Of a target that refused it for load.
-  Connection, ///< Of its holder, for its own callers and other daemons'.
+  Primary,    ///< A primary that is known and reachable.
+  Replica,    ///< A replica that has caught up with what the read must see.
+  Slot,       ///< A free slot, after the target refused because of load.
+  Connection, ///< A connection of the holder, for any daemon's callers.
 };
-inline constexpr std::size_t WaitPlaces = 4;
+inline constexpr std::size_t WaitReasons = 4;
 
-/// The parts of a change of primary, as the daemon that decides it sees them.
+/// The parts of a change of primary, as measured by the failover leader.
 enum class ChangePart : std::uint8_t {
-  Notice,   ///< From the last sign of the old primary to the suspicion.
-  Evidence, ///< Asking other daemons and the store.
-  Choice,   ///< Asking the replicas what they have received.
-  Call,     ///< On the platform.
-  Lead,     ///< Until the new primary is known to lead.
+  Detection,    ///< From the loss of the old primary to the suspicion.
+  Confirmation, ///< Querying other daemons and the store.
+  Selection,    ///< Querying the replicas for their positions.
+  Promotion,    ///< The platform's promotion call.
+  Takeover,     ///< Until the new primary is known to lead.
 };
 inline constexpr std::size_t ChangeParts = 5;
 
 enum class StoreCall : std::uint8_t { Read, Write };
 
-/// Copies of the store's objects, on their way from or to another daemon, or
-/// from the store.
+/// Direction of a snapshot of the store's objects. Snapshots are sent to other
+/// daemons, and received from them or from the store.
 enum class CopyFlow : std::uint8_t { Sent, Received };
 
-/// How long ago the store last answered for a kind of objects.
+/// Time since the store last answered for a kind of objects.
 struct StoreAge {
   std::string Kind;
   Duration Age{};
@@ -61,16 +61,17 @@
   auto operator<=>(const StoreAge &) const = default;
 };
 
-/// Values that are worked out when they are asked for.
+/// Present values, collected for each scrape.
 struct ProxyGauges {
   std::size_t Sessions = 0;
   std::size_t ConnectionsOpen = 0;
   std::size_t ConnectionsIdle = 0;
   std::size_t Waiting = 0;
   std::size_t Members = 0;
-  std::uint64_t Version = 0; ///< Of the configuration in force.
+  std::uint64_t Version = 0; ///< Of the current configuration.
   bool HoldsDuty = false;
-  std::size_t KindsLost = 0; ///< Kinds of the store that do not answer.
+  /// Kinds of objects for which the store does not answer.
+  std::size_t KindsLost = 0;
   std::vector<StoreAge> StoreAges;
   std::uint64_t DroppedLines = 0;
 };
@@ -90,31 +91,31 @@
   Counter PrimaryReads = nullptr;
   Histogram ReplicaReadAge = nullptr;
   Histogram RefusedWait = nullptr;
-  std::array<Histogram, WaitPlaces> Waits{};
+  std::array<Histogram, WaitReasons> Waits{};
   Counter AnswersOk = nullptr;
-  Family Answers = nullptr; ///< Others than success, by what they say.
+  Family Answers = nullptr; ///< Errors, by kind.
   std::array<Histogram, ChangeParts> ChangeSeconds{};
   Counter Promotions = nullptr;
-  Counter RecordsLacked = nullptr;
-  Family StoreAnswers = nullptr;
-  Family CopyBytes = nullptr;
-  prometheus::Family<prometheus::Gauge> *Now = nullptr;
+  Counter RecordsMissing = nullptr;
+  Family StoreCalls = nullptr;
+  Family SnapshotBytes = nullptr;
+  prometheus::Family<prometheus::Gauge> *PresentValues = nullptr;
   prometheus::Family<prometheus::Gauge> *StoreAge = nullptr;
 };
 
 ProxyMetrics makeProxyMetrics();
 
-/// \param took since the caller's statement came.
+/// \param took time since the caller's statement arrived.
 void countStatement(ProxyMetrics &it, Guarantee route, StatementOutcome outcome,
                     Duration took);
 void countRefusal(ProxyMetrics &it, const std::string &why, Duration waited);
 void countRetry(ProxyMetrics &it, const std::string &why);
 void countWait(ProxyMetrics &it, WaitPlace place, Duration waited);
-/// \param error of the target's answer; nothing: a success.
+/// \param error of the target's answer; empty for a success.
 void countAnswer(ProxyMetrics &it, const std::optional<StatementError> &error);
-/// A statement that a target was sent and did not answer.
+/// Counts a statement that was sent to a target and not answered.
 void countNoAnswer(ProxyMetrics &it);
-/// \param age bound on how old the replica's view was.
+/// \param age upper bound on the age of the replica's view.
 void countReplicaRead(ProxyMetrics &it, Duration age);
 void countChangePart(ProxyMetrics &it, ChangePart part, Duration took);
 void countStoreCall(ProxyMetrics &it, const std::string &kind, StoreCall call,
@@ -122,7 +123,7 @@
 void countCopyBytes(ProxyMetrics &it, const std::string &kind, CopyFlow flow,
                     std::size_t bytes);
 
-/// \return the Prometheus text format, the counts of events included.
+/// \return the metrics in the Prometheus text format, with event counts.
 std::string writeText(ProxyMetrics &it, const ProxyGauges &now);
 
 } // namespace peridotfall::proxy
--- a/src/proxy/own_record.cpp
+++ b/src/proxy/own_record.cpp
@@ -7,7 +7,7 @@
     Written = false;
     return false;
   }
-  // What this daemon wrote itself is no forerunner's.
+  // The listed object is not from a previous process if this one wrote it.
   if (Written || Writing || *listed < Incarnation)
     return false;
   Incarnation = *listed + 1;
@@ -21,7 +21,7 @@
 void OwnRecord::writeEnded(bool done, TimePoint now) {
   Writing = false;
   Written = done;
-  NotBefore = now + limits::AnnouncePause;
+  NotBefore = now + limits::OwnRecordRetryPause;
 }
 
 } // namespace peridotfall::proxy
--- a/src/proxy/own_record.h
+++ b/src/proxy/own_record.h
@@ -1,6 +1,6 @@
 /// \file
-/// This daemon's own object in the store, by which others find it: when it is
-/// written, and with which incarnation. Decides only.
+/// Decides when this daemon writes its own object in the store, by which other
+/// daemons find it, and with which incarnation. Makes no calls itself.
 
 #ifndef PERIDOTFALL_PROXY_OWN_RECORD_H
 #define PERIDOTFALL_PROXY_OWN_RECORD_H
@@ -15,10 +15,10 @@
 
 namespace limits {
 
-/// Between two tries to write it. Load: all daemons start at once into a store
-/// that is slow. Reason: two writes a second of each are a fraction of the
-/// store's rate at the sizes of today.
-inline constexpr std::chrono::milliseconds AnnouncePause{500};
+/// Between two attempts to write the object. All daemons may start at once
+/// while the store is slow; two writes a second from each are a fraction of the
+/// store's rate at present sizes.
+inline constexpr std::chrono::milliseconds OwnRecordRetryPause{500};
 
 } // namespace limits
 
@@ -29,13 +29,14 @@
 
   std::uint64_t incarnation() const { return Incarnation; }
 
-  /// Takes the list of all daemons' objects.
-  /// \param listed the incarnation that this daemon's object has; nothing: it
-  /// has none, or was removed while the daemon was cut off.
-  /// \return whether this daemon has another incarnation now. The time of day
-  /// may have gone back since the last start on this VM, and others would
-  /// ignore what an older incarnation says of itself.
+  /// Call with each list of all daemons' objects.
+  /// \param listed the incarnation in this daemon's object; empty if there is
+  /// none, or it was removed while this daemon was partitioned.
+  /// \return whether the incarnation changed. The wall clock may have gone back
+  /// since the last start on this VM, and other daemons ignore what an older
+  /// incarnation reports.
   bool takeListed(std::optional<std::uint64_t> listed);
+  /// \return whether to write the object now.
   /// \param listCurrent whether the store answers.
   bool isDue(bool listCurrent, TimePoint now) const;
   void writeBegun() { Writing = true; }
--- a/src/proxy/succession.cpp
+++ b/src/proxy/succession.cpp
@@ -21,7 +21,7 @@
                        SuccessionPort &port, ProxyMetrics &metrics,
                        const Clock &clock)
     : Self(std::move(self)), Incarnation(incarnation), Targets(groups),
-      Port(port), Counts(metrics), Time(clock), HolderSeen(clock.now()),
+      Port(port), Metrics(metrics), Time(clock), HolderSeenAt(clock.now()),
       LastTick(clock.now()) {}
 
 bool Succession::holds() const {
@@ -34,15 +34,15 @@
   bool held = holds();
   bool otherHolder = !Record || !record || record->Holder != Record->Holder ||
                      record->Incarnation != Record->Incarnation;
-  Known = true;
+  RecordKnown = true;
   Record = record;
   Revision = revision;
   if (otherHolder)
-    seeHolder();
-  if (StoreAsked && !StoreReached)
-    StoreReached = Time.now();
+    noteHolderSeen();
+  if (StoreQueried && !StoreReachedAt)
+    StoreReachedAt = Time.now();
   if (!held && holds()) {
-    forgetSuspicions();
+    restartSuspicions();
     NextNumber = record->First;
     telemetry::log(Event::DutyTaken, {field("first_number", record->First),
                                       field("revision", revision)});
@@ -57,8 +57,8 @@
 
 void Succession::takeMembers(const std::vector<Member> &live) { Live = live; }
 
-/// \return this daemon's place among those that may take the duty over.
-std::optional<std::size_t> Succession::rank() const {
+/// \return this daemon's rank among those that may become leader.
+std::optional<std::size_t> Succession::takeoverRank() const {
   auto ranked =
       rankOwners(Live, TargetName("failover duty"), DomainName(), RegionName());
   auto it = std::find_if(ranked.begin(), ranked.end(),
@@ -68,110 +68,110 @@
   return static_cast<std::size_t>(it - ranked.begin());
 }
 
-void Succession::tickDuty(TimePoint now) {
-  if (!Known || Writing)
+void Succession::tickLeadership(TimePoint now) {
+  if (!RecordKnown || Writing)
     return;
   if (holds()) {
-    if (Record->Last - NextNumber < limits::NumbersLeft && now >= NextClaim)
-      extend();
+    if (Record->Last - NextNumber < limits::MinNumbersLeft && now >= NextClaim)
+      reserveNumbers();
     return;
   }
   bool alive =
       Record && std::any_of(Live.begin(), Live.end(), [&](const Member &it) {
-        // An unknown incarnation is one that was not heard of yet.
+        // 0: no message with the member's incarnation has arrived yet.
         bool same =
             it.Incarnation == 0 || it.Incarnation == Record->Incarnation;
         return it.Vm == Record->Holder && same && !it.Leaving;
       });
   if (alive)
-    seeHolder();
+    noteHolderSeen();
   else if (now >= NextClaim)
-    missHolder(now);
+    handleMissingHolder(now);
 }
 
-void Succession::seeHolder() {
-  HolderSeen = Time.now();
-  StoreAsked = false;
-  StoreReached.reset();
+void Succession::noteHolderSeen() {
+  HolderSeenAt = Time.now();
+  StoreQueried = false;
+  StoreReachedAt.reset();
 }
 
-void Succession::missHolder(TimePoint now) {
-  auto place = rank();
-  if (!place)
+void Succession::handleMissingHolder(TimePoint now) {
+  auto ownRank = takeoverRank();
+  if (!ownRank)
     return;
-  auto turn = Duration(limits::DutyStagger) * *place;
-  auto missed = now - HolderSeen;
+  auto stagger = Duration(limits::LeadershipStagger) * *ownRank;
+  auto missed = now - HolderSeenAt;
   if (!Record) {
-    if (missed >= turn)
-      claim(now);
+    if (missed >= stagger)
+      claimLeadership(now);
     return;
   }
-  // Failure: the holder's process was killed and started anew. Symptom: for a
-  // lease nobody replaces a primary that fails. The one before it on this VM
-  // has ended, so there is nobody to wait for.
+  // The record names an earlier process of this VM, which has ended. Waiting
+  // for its lease would leave failed primaries without a replacement.
   if (Record->Holder == Self.Vm) {
-    claim(now);
+    claimLeadership(now);
     return;
   }
-  if (missed < limits::DutyLease - limits::DutyConfirm + turn)
+  if (missed <
+      limits::LeadershipLease - limits::LeadershipConfirmation + stagger)
     return;
-  if (!StoreReached) {
-    StoreAsked = true;
-    NextClaim = now + limits::DutyRetry;
+  if (!StoreReachedAt) {
+    StoreQueried = true;
+    NextClaim = now + limits::LeadershipRetryPause;
     Port.readRecord();
-  } else if (now - *StoreReached >= limits::DutyConfirm)
-    claim(now);
+  } else if (now - *StoreReachedAt >= limits::LeadershipConfirmation)
+    claimLeadership(now);
 }
 
-void Succession::claim(TimePoint now) {
+void Succession::claimLeadership(TimePoint now) {
   DutyRecord next;
   next.Holder = Self.Vm;
   next.Incarnation = Incarnation;
   next.First = Record ? Record->Last + 1 : 1;
-  next.Last = next.First + limits::NumbersTaken;
+  next.Last = next.First + limits::ReservedNumbers;
   Writing = true;
-  NextClaim = now + limits::DutyRetry;
+  NextClaim = now + limits::LeadershipRetryPause;
   Port.writeRecord(next, Record ? Revision : 0);
 }
 
-void Succession::extend() {
+void Succession::reserveNumbers() {
   auto next = *Record;
-  next.Last += limits::NumbersTaken;
+  next.Last += limits::ReservedNumbers;
   Writing = true;
-  NextClaim = Time.now() + limits::DutyRetry;
+  NextClaim = Time.now() + limits::LeadershipRetryPause;
   Port.writeRecord(next, Revision);
 }
 
 void Succession::takeWritten(CallOutcome outcome) {
   Writing = false;
-  // However it ended, what is in force is read back: an answer that was lost
-  // may hide a claim that succeeded, or one that succeeds later.
+  // The record is read back whatever the outcome: with a lost answer, the write
+  // may have succeeded or may still succeed later.
   static_cast<void>(outcome);
-  Known = false;
+  RecordKnown = false;
   Port.readRecord();
 }
 
 void Succession::tick() {
   auto now = Time.now();
-  bool paused = now - LastTick > limits::LongTick;
+  bool paused = now - LastTick > limits::MaxTickInterval;
   LastTick = now;
   if (paused) {
-    // Frozen or suspended: nothing was heard because nothing was read. Another
-    // daemon may hold the duty by now, and the watch that tells may be between
-    // two calls; a promotion by the old record would undo the other's.
-    seeHolder();
-    forgetSuspicions();
+    // The process was frozen or suspended and received nothing. Another daemon
+    // may be leader by now, and the watch that reports it may be between two
+    // calls. A promotion based on the old record would undo the other's.
+    noteHolderSeen();
+    restartSuspicions();
     if (holds())
       Port.readRecord();
   }
-  tickDuty(now);
+  tickLeadership(now);
   if (!holds())
     return;
   for (auto &[name, group] : Targets.all())
     tickGroup(name, *group, now);
 }
 
-void Succession::forgetSuspicions() {
+void Succession::restartSuspicions() {
   for (auto &[name, group] : Targets.all())
     if (group->LeaderMissing)
       group->LeaderMissing = Time.now();
@@ -183,46 +183,46 @@
   auto &change = Changes[name];
   if (now < change.NotBefore)
     return;
-  switch (change.At) {
+  switch (change.CurrentStep) {
   case Step::Watching:
-    watch(name, group, change, now);
+    detectFailure(name, group, change, now);
     return;
-  case Step::Asking:
-    decide(name, group, change, now);
+  case Step::Confirming:
+    confirmFailure(name, group, change, now);
     return;
-  case Step::Choosing:
-    choose(name, group, change, now);
+  case Step::Selecting:
+    selectReplica(name, group, change, now);
     return;
-  case Step::Calling:
-    if (change.Unanswered < limits::MostPromotionCalls &&
-        now - change.LastCall >= limits::PromotionHedge)
-      call(name, change);
+  case Step::Promoting:
+    if (change.Unanswered < limits::MaxPromotionCalls &&
+        now - change.LastCall >= limits::PromotionHedgeDelay)
+      sendPromotion(name, change);
     return;
   case Step::Settling: {
     bool leads = group.View.leader() == change.Chosen && !group.LeaderMissing;
     if (leads)
-      countChangePart(Counts, ChangePart::Lead, now - change.Since);
-    if (leads || now - change.Since >= limits::PromotionSettle)
+      countChangePart(Metrics, ChangePart::Takeover, now - change.Since);
+    if (leads || now - change.Since >= limits::PromotionSettleTimeout)
       change = {};
     return;
   }
   }
 }
 
-void Succession::watch(const GroupName &name, Group &group, Change &change,
-                       TimePoint now) {
+void Succession::detectFailure(const GroupName &name, Group &group,
+                               Change &change, TimePoint now) {
   if (group.LeavingSince) {
-    if (now - *group.LeavingSince >= limits::HandoverSettle) {
+    if (now - *group.LeavingSince >= limits::HandoverDelay) {
       change.Planned = true;
-      beginChoice(name, group, change);
+      beginSelection(name, group, change);
     }
     return;
   }
   if (!group.LeaderMissing || now - *group.LeaderMissing < limits::SuspectAfter)
     return;
-  change.At = Step::Asking;
+  change.CurrentStep = Step::Confirming;
   change.Since = now;
-  countChangePart(Counts, ChangePart::Notice, now - *group.LeaderMissing);
+  countChangePart(Metrics, ChangePart::Detection, now - *group.LeaderMissing);
   auto leader = group.View.leader();
   telemetry::log(Event::PrimarySuspected,
                  {field("group", name.Value),
@@ -231,7 +231,7 @@
                                           now - *group.LeaderMissing)
                                           .count())});
   change.TargetsRead = false;
-  change.Evidence.reset();
+  change.Reports.reset();
   Port.readTargets();
   Port.askPeers(name);
 }
@@ -239,8 +239,8 @@
 void Succession::takeEvidence(const GroupName &name,
                               const PeerEvidence &evidence) {
   auto it = Changes.find(name);
-  if (it != Changes.end() && it->second.At == Step::Asking)
-    it->second.Evidence = evidence;
+  if (it != Changes.end() && it->second.CurrentStep == Step::Confirming)
+    it->second.Reports = evidence;
 }
 
 void Succession::takeTargetsRead() {
@@ -248,20 +248,20 @@
     change.TargetsRead = true;
 }
 
-void Succession::decide(const GroupName &name, Group &group, Change &change,
-                        TimePoint now) {
+void Succession::confirmFailure(const GroupName &name, Group &group,
+                                Change &change, TimePoint now) {
   if (!group.LeaderMissing) {
     change = {};
     return;
   }
-  bool all = change.Evidence && change.TargetsRead;
-  if (!all && now - change.Since < limits::EvidenceWait)
+  bool all = change.Reports && change.TargetsRead;
+  if (!all && now - change.Since < limits::PeerReportTimeout)
     return;
-  // Nobody answered in time: this daemon's own view decides.
-  auto evidence = change.Evidence.value_or(PeerEvidence{});
-  // Load: a primary that some daemons cannot reach. Harm of replacing it on
-  // one daemon's word: records lost and a gap for all, for a fault of one
-  // link. It is replaced when no majority of the daemons reaches it.
+  // Without an answer in time, this daemon's own view decides.
+  auto evidence = change.Reports.value_or(PeerEvidence{});
+  // The primary is replaced only if no majority of the daemons reaches it.
+  // Replacing it on one daemon's view would lose records and interrupt all
+  // callers for the fault of one link.
   if (evidence.Reach * 2 > evidence.Answered + 1) {
     telemetry::log(Event::PrimaryReachedByOthers,
                    {field("group", name.Value), field("reach", evidence.Reach),
@@ -270,131 +270,133 @@
     change.NotBefore = now + limits::SuspectAfter;
     return;
   }
-  beginChoice(name, group, change);
+  beginSelection(name, group, change);
 }
 
-void Succession::beginChoice(const GroupName &name, Group &group,
-                             Change &change) {
+void Succession::beginSelection(const GroupName &name, Group &group,
+                                Change &change) {
   auto now = Time.now();
-  if (change.At == Step::Asking)
-    countChangePart(Counts, ChangePart::Evidence, now - change.Since);
-  change.At = Step::Choosing;
+  if (change.CurrentStep == Step::Confirming)
+    countChangePart(Metrics, ChangePart::Confirmation, now - change.Since);
+  change.CurrentStep = Step::Selecting;
   change.Since = now;
-  change.Heard.clear();
-  change.Asked.clear();
-  askStatus(name, group, change);
+  change.Statuses.clear();
+  change.Pending.clear();
+  queryStatus(name, group, change);
 }
 
-void Succession::askStatus(const GroupName &name, Group &group,
-                           Change &change) {
+void Succession::queryStatus(const GroupName &name, Group &group,
+                             Change &change) {
   for (const auto &it : group.Targets) {
-    if (!isCandidate(group, it) || change.Heard.contains(it.Name) ||
-        !change.Asked.insert(it.Name).second)
+    if (!isCandidate(group, it) || change.Statuses.contains(it.Name) ||
+        !change.Pending.insert(it.Name).second)
       continue;
     Batch batch;
     batch.Statements = {ownStatement(StatementKind::Status)};
     batch.EndsLease = true;
-    batch.Patience = limits::ChoiceLimit;
-    LeaseRequest request{it.Name, 0, limits::ChoiceLimit,
-                         2 * limits::ChoiceLimit};
+    batch.Patience = limits::StatusTimeout;
+    LeaseRequest request{it.Name, 0, limits::StatusTimeout,
+                         2 * limits::StatusTimeout};
     auto target = it.Name;
-    auto heard = [this, name, target](const BatchResult &result) {
+    auto received = [this, name, target](const BatchResult &result) {
       auto found = Changes.find(name);
-      if (found == Changes.end() || found->second.At != Step::Choosing)
+      if (found == Changes.end() ||
+          found->second.CurrentStep != Step::Selecting)
         return;
-      found->second.Asked.erase(target);
+      found->second.Pending.erase(target);
       bool whole = result.End == BatchEnd::Whole && result.Answers[0].Status;
       if (whole)
-        found->second.Heard[target] = *result.Answers[0].Status;
+        found->second.Statuses[target] = *result.Answers[0].Status;
     };
-    Targets.begin(request, std::move(batch), heard);
+    Targets.begin(request, std::move(batch), received);
   }
 }
 
-/// Takes the replica that has received most; what it lacks is lost. All that
-/// are asked get a moment to answer, and a planned change waits for a replica
-/// that has everything.
-void Succession::choose(const GroupName &name, Group &group, Change &change,
-                        TimePoint now) {
+/// Selects the replica that has received most; records that it lacks are lost.
+/// Waits a limited time for the answers of all replicas, and in a planned
+/// change also for a replica to catch up with the primary.
+void Succession::selectReplica(const GroupName &name, Group &group,
+                               Change &change, TimePoint now) {
   auto leader = group.View.leader();
-  bool back = !change.Planned && !group.LeaderMissing;
-  bool left = change.Planned && !group.LeavingSince;
-  if (back || left) {
+  bool primaryBack = !change.Planned && !group.LeaderMissing;
+  bool handoverCancelled = change.Planned && !group.LeavingSince;
+  if (primaryBack || handoverCancelled) {
     change = {};
     return;
   }
   auto waited = now - change.Since;
-  if (!change.Asked.empty() && waited < limits::ChoiceLimit)
+  if (!change.Pending.empty() && waited < limits::StatusTimeout)
     return;
   auto candidates = static_cast<std::size_t>(std::count_if(
       group.Targets.begin(), group.Targets.end(),
       [&](const TargetEntry &it) { return isCandidate(group, it); }));
-  auto limit = group.Settings.WaitsForReplica
-                   ? limits::SilentReplicaOfSyncedLimit
-                   : limits::SilentReplicaLimit;
-  if (change.Heard.size() < candidates && waited < limit) {
-    askStatus(name, group, change);
+  auto limit = group.Settings.WaitsForReplica ? limits::SilentSyncReplicaTimeout
+                                              : limits::SilentReplicaTimeout;
+  if (change.Statuses.size() < candidates && waited < limit) {
+    queryStatus(name, group, change);
     return;
   }
-  const TargetStatus *best = nullptr;
+  const TargetStatus *bestStatus = nullptr;
   TargetName chosen;
-  for (const auto &[target, status] : change.Heard) {
-    if (change.Failed.contains(target) && change.Heard.size() > 1)
+  for (const auto &[target, status] : change.Statuses) {
+    if (change.FailedTargets.contains(target) && change.Statuses.size() > 1)
       continue;
-    if (status.IsPrimary || (best && status.Received <= best->Received))
+    if (status.IsPrimary ||
+        (bestStatus && status.Received <= bestStatus->Received))
       continue;
-    best = &status;
+    bestStatus = &status;
     chosen = target;
   }
-  if (!best) {
-    change.Failed.clear();
-    change.Heard.clear();
-    askStatus(name, group, change);
-    change.NotBefore = now + limits::PromotionPause;
+  if (!bestStatus) {
+    change.FailedTargets.clear();
+    change.Statuses.clear();
+    queryStatus(name, group, change);
+    change.NotBefore = now + limits::PromotionRetryPause;
     return;
   }
-  std::uint64_t lacks = 0;
+  std::uint64_t missingRecords = 0;
   if (auto last = group.View.lastHead();
-      last && last->InTerm == best->Received.InTerm &&
-      last->Index > best->Received.Index)
-    lacks = last->Index - best->Received.Index;
-  if (change.Planned && lacks > 0 && waited < limits::CatchUpLimit) {
-    change.Heard.clear();
-    askStatus(name, group, change);
+      last && last->InTerm == bestStatus->Received.InTerm &&
+      last->Index > bestStatus->Received.Index)
+    missingRecords = last->Index - bestStatus->Received.Index;
+  if (change.Planned && missingRecords > 0 && waited < limits::CatchUpTimeout) {
+    change.Statuses.clear();
+    queryStatus(name, group, change);
     change.NotBefore = now + milliseconds(50);
     return;
   }
   if (!holds() || NextNumber > Record->Last) {
     telemetry::log(Event::TermsExhausted, {field("group", name.Value)});
-    change.NotBefore = now + limits::PromotionPause;
+    change.NotBefore = now + limits::PromotionRetryPause;
     return;
   }
-  Counts.Promotions->Increment();
-  Counts.RecordsLacked->Increment(static_cast<double>(lacks));
+  Metrics.Promotions->Increment();
+  Metrics.RecordsMissing->Increment(static_cast<double>(missingRecords));
   change.Chosen = chosen;
   change.Number = NextNumber++;
-  telemetry::log(Event::PromotionDecided,
-                 {field("group", name.Value), field("target", chosen.Value),
-                  field("old", leader ? leader->Value : "none"),
-                  field("planned", change.Planned),
-                  field("number", change.Number), field("lacks", lacks),
-                  field("received", fmt::format("{}.{}", best->Received.InTerm,
-                                                best->Received.Index)),
-                  field("heard", change.Heard.size())});
-  beginCalls(name, change);
+  telemetry::log(
+      Event::PromotionDecided,
+      {field("group", name.Value), field("target", chosen.Value),
+       field("old", leader ? leader->Value : "none"),
+       field("planned", change.Planned), field("number", change.Number),
+       field("lacks", missingRecords),
+       field("received", fmt::format("{}.{}", bestStatus->Received.InTerm,
+                                     bestStatus->Received.Index)),
+       field("heard", change.Statuses.size())});
+  beginPromotion(name, change);
 }
 
-void Succession::beginCalls(const GroupName &name, Change &change) {
+void Succession::beginPromotion(const GroupName &name, Change &change) {
   auto now = Time.now();
-  countChangePart(Counts, ChangePart::Choice, now - change.Since);
-  change.At = Step::Calling;
+  countChangePart(Metrics, ChangePart::Selection, now - change.Since);
+  change.CurrentStep = Step::Promoting;
   change.Since = now;
   change.Calls = 0;
   change.Unanswered = 0;
-  call(name, change);
+  sendPromotion(name, change);
 }
 
-void Succession::call(const GroupName &name, Change &change) {
+void Succession::sendPromotion(const GroupName &name, Change &change) {
   change.LastCall = Time.now();
   ++change.Calls;
   ++change.Unanswered;
@@ -404,7 +406,7 @@
 void Succession::takePromoted(const GroupName &name, CallOutcome outcome,
                               std::optional<std::uint64_t> number) {
   auto it = Changes.find(name);
-  if (it == Changes.end() || it->second.At != Step::Calling)
+  if (it == Changes.end() || it->second.CurrentStep != Step::Promoting)
     return;
   if (number && *number != it->second.Number)
     return;
@@ -422,30 +424,30 @@
        field("took_ms",
              std::chrono::duration_cast<milliseconds>(now - change.Since)
                  .count())});
-  countChangePart(Counts, ChangePart::Call, now - change.Since);
-  constexpr unsigned MostCalls = 2;
+  countChangePart(Metrics, ChangePart::Promotion, now - change.Since);
+  constexpr unsigned MaxCalls = 2;
   if (outcome == CallOutcome::Done) {
-    change.At = Step::Settling;
+    change.CurrentStep = Step::Settling;
     change.Since = now;
     change.NotBefore = {};
     return;
   }
   if (outcome == CallOutcome::Unknown && change.Unanswered > 0)
     return;
-  if (outcome == CallOutcome::Unknown && change.Calls < MostCalls) {
-    // The same number for the same target: whichever call is carried out,
-    // the outcome is the same.
-    call(name, change);
+  if (outcome == CallOutcome::Unknown && change.Calls < MaxCalls) {
+    // Number and target are the same, so the outcome is the same whichever
+    // call is carried out.
+    sendPromotion(name, change);
     return;
   }
-  // The number is not used again. The record tells whether another holds the
-  // duty by now.
+  // The number is not used again. The record is read to see whether another
+  // daemon is leader by now.
   auto failed = change.Chosen;
   auto planned = change.Planned;
   change = {};
-  change.Failed.insert(failed);
+  change.FailedTargets.insert(failed);
   change.Planned = planned;
-  change.NotBefore = now + limits::PromotionPause;
+  change.NotBefore = now + limits::PromotionRetryPause;
   Port.readRecord();
 }
 
--- a/src/proxy/succession.h
+++ b/src/proxy/succession.h
@@ -1,6 +1,7 @@
 /// \file
-/// Who replaces a group's primary, when, and by which replica. One daemon
-/// holds the duty at a time; a record in the platform's store names it.
+/// Replaces failed and leaving primaries. One daemon at a time, the failover
+/// leader, decides this for all groups; a record in the platform's store names
+/// it.
 
 #ifndef PERIDOTFALL_PROXY_SUCCESSION_H
 #define PERIDOTFALL_PROXY_SUCCESSION_H
@@ -18,103 +19,106 @@
 
 namespace limits {
 
-/// A primary that the holder of the duty has not reached for so long is
-/// replaced. Longer than a pause of the network or a full queue, which hold
-/// an answer up by 150 ms at most; each tenth of a second is a gap in writes.
+/// A primary that the failover leader has not reached for this long is
+/// suspected. Network pauses and full queues delay an answer by 150 ms at most;
+/// a longer time adds to the interruption of writes.
 inline constexpr milliseconds SuspectAfter{600};
-/// A daemon that was not running for longer than this knows nothing of the
-/// present; its suspicions begin anew.
-inline constexpr milliseconds LongTick{300};
-/// Longest wait for the other daemons' word and the list of targets; a little
-/// more than the two calls may take.
-inline constexpr milliseconds EvidenceWait{400};
-/// Longest wait for the replicas' word on how much they have received.
-inline constexpr milliseconds ChoiceLimit{200};
-/// Longest wait for a replica that does not say how much it has received.
-/// Harm without it: acknowledged records that only that one has are lost for
-/// a pause of its own. Reason: one lost packet and its second try.
-inline constexpr milliseconds SilentReplicaLimit{700};
+/// After a longer gap between two ticks the process was frozen or suspended:
+/// its state is stale and suspicions start again.
+inline constexpr milliseconds MaxTickInterval{300};
+/// For the peer reports and the list of targets; slightly longer than the
+/// timeouts of the two calls.
+inline constexpr milliseconds PeerReportTimeout{400};
+/// For the replicas' answers on how much of the log they have received.
+inline constexpr milliseconds StatusTimeout{200};
+/// Longest wait for a replica that does not report its position. Without the
+/// wait, a short pause of that replica loses acknowledged records that only it
+/// has. Long enough for one lost packet and its retransmission.
+inline constexpr milliseconds SilentReplicaTimeout{700};
 /// The same in a group whose commits are acknowledged once one replica has
-/// them: any replica may be the one. Reason: longer than the time after which
-/// the entry of a target that is gone for good is removed, which ends the wait.
-inline constexpr milliseconds SilentReplicaOfSyncedLimit{5'000};
-/// Longest wait for a replica to receive what a leaving primary has.
-inline constexpr milliseconds CatchUpLimit{2'500};
-/// Between a leaving primary's notice and the choice: writes that the other
-/// daemons had sent before they knew are answered by then.
-inline constexpr milliseconds HandoverSettle{120};
-/// After a promotion was accepted, until another is tried: longer than one
-/// takes to be carried out.
-inline constexpr milliseconds PromotionSettle{2'000};
-/// A call of the platform that is silent for so long is made again beside the
-/// first, so many at once at most. Load: answers of the platform that are
-/// lost. Harm without it: the group has no primary until the call's limit is
-/// over. Reason: some times what a call takes; all carry the same number for
-/// the same target, so whichever is carried out, the outcome is the same.
-inline constexpr milliseconds PromotionHedge{150};
-inline constexpr unsigned MostPromotionCalls = 3;
-/// Pause after a promotion failed.
-inline constexpr milliseconds PromotionPause{200};
-/// A holder of the duty that no daemon has heard of for so long has lost it.
-/// No page gives the span within which two may not take turns; this one is
-/// longer than the pause in which a live holder is suspected wrongly.
-inline constexpr milliseconds DutyLease{3'000};
-/// Part of the lease during which the store must have been reached. Harm
-/// without it: a daemon that was cut from the holder and from the store takes
-/// the duty the moment the cut heals, before it has heard the holder again.
-/// Reason: twice the time between two probes of a member.
-inline constexpr milliseconds DutyConfirm{1'000};
-/// Between the steps of the daemons that may take the duty over, so that the
-/// first one's claim is seen before the next one makes its own.
-inline constexpr milliseconds DutyStagger{400};
-/// Pause after a claim that did not get through.
-inline constexpr milliseconds DutyRetry{500};
-/// Numbers taken beforehand, so that primaries can be replaced while the
-/// store is away; and how many must be left before more are taken.
-inline constexpr std::uint64_t NumbersTaken = 64;
-inline constexpr std::uint64_t NumbersLeft = 32;
+/// them, since that can be any replica. Longer than the time after which the
+/// entry of a permanently lost target is removed, which also ends the wait.
+inline constexpr milliseconds SilentSyncReplicaTimeout{5'000};
+/// Longest wait for a replica to receive all records of a leaving primary.
+inline constexpr milliseconds CatchUpTimeout{2'500};
+/// Delay between seeing a primary as leaving and selecting its successor. By
+/// then the writes are answered that other daemons sent before they saw it.
+inline constexpr milliseconds HandoverDelay{120};
+/// After a promotion was accepted, until the next attempt; longer than the
+/// platform takes to carry one out.
+inline constexpr milliseconds PromotionSettleTimeout{2'000};
+/// A promotion call without an answer for this long is repeated in parallel,
+/// up to MaxPromotionCalls at once. Otherwise a lost answer leaves the group
+/// without a primary until the call times out. The delay is several times the
+/// usual duration of a call. All calls have the same number and target, so the
+/// outcome is the same whichever is carried out.
+inline constexpr milliseconds PromotionHedgeDelay{150};
+inline constexpr unsigned MaxPromotionCalls = 3;
+/// After a failed promotion.
+inline constexpr milliseconds PromotionRetryPause{200};
+/// A failover leader that has been missing from the live members for this long
+/// may be replaced. The platform's documentation gives no minimum time between
+/// two leaders; this is longer than the pauses during which a live leader is
+/// wrongly suspected.
+inline constexpr milliseconds LeadershipLease{3'000};
+/// Final part of the lease, which starts only after the store has answered.
+/// Without it, a daemon that was partitioned from the leader and the store
+/// claims leadership as soon as the partition ends, before it hears from the
+/// leader again. Twice the interval between two probes of a member.
+inline constexpr milliseconds LeadershipConfirmation{1'000};
+/// Added for each rank of the daemons that may become leader, so that the
+/// first one's claim is visible before the next one claims.
+inline constexpr milliseconds LeadershipStagger{400};
+/// Between two attempts to read or write the record.
+inline constexpr milliseconds LeadershipRetryPause{500};
+/// Promotion numbers reserved in advance, so that primaries can be replaced
+/// while the store is unavailable; below MinNumbersLeft more are reserved.
+inline constexpr std::uint64_t ReservedNumbers = 64;
+inline constexpr std::uint64_t MinNumbersLeft = 32;
 
 } // namespace limits
 
-/// Who holds the duty, and the numbers that promotions may carry. A number is
-/// used for one target only: a call without an answer may be carried out
-/// later, and must then be older than the choice that followed it.
+/// The failover leader and its range of promotion numbers. A number is used
+/// for one target only: a call without an answer may be carried out late, and
+/// must then have a lower number than the decision that followed it.
 struct DutyRecord {
   VmName Holder;
   std::uint64_t Incarnation = 0;
-  std::uint64_t First = 0; ///< Least number of this holder.
-  std::uint64_t Last = 0;
+  std::uint64_t First = 0; ///< Lowest promotion number of this holder.
+  std::uint64_t Last = 0;  ///< Highest.
 
   auto operator<=>(const DutyRecord &) const = default;
 };
 
 enum class CallOutcome : std::uint8_t { Done, Refused, Unknown };
 
-/// What the other daemons say of a group's primary.
+/// The other daemons' reports on a group's primary.
 struct PeerEvidence {
   std::size_t Answered = 0;
-  std::size_t Reach = 0; ///< Of these, how many reach it.
+  std::size_t Reach = 0; ///< Of these, how many reach the primary.
 
   auto operator<=>(const PeerEvidence &) const = default;
 };
 
-/// Calls on the platform and on other daemons. Each is answered once, by the
-/// method named; never from within the call.
+/// Calls to the platform and to other daemons. Each is answered once, through
+/// the method of FailoverController that its comment names, and never from
+/// within the call.
 class SuccessionPort {
 public:
   virtual ~SuccessionPort() = default;
-  /// \param revision that the record has; 0: there is none. takeWritten.
+  /// Answered by handleWritten.
+  /// \param revision of the stored record; 0 if there is none.
   virtual void writeRecord(const DutyRecord &record,
                            std::uint64_t revision) = 0;
-  /// takeRecord follows.
+  /// Answered by handleRecord.
   virtual void readRecord() = 0;
-  /// takePromoted.
+  /// Answered by handlePromoted.
   virtual void promote(const GroupName &group, const TargetName &target,
                        std::uint64_t number) = 0;
-  /// takeTargetsRead, whether the store answered or not: another holder may
-  /// have replaced the primary already.
+  /// Answered by handleTargetsRead, whether or not the store answered. Needed
+  /// because another leader may already have replaced the primary.
   virtual void readTargets() = 0;
-  /// takeEvidence.
+  /// Answered by handlePeerReports.
   virtual void askPeers(const GroupName &group) = 0;
 };
 
@@ -124,13 +128,13 @@
   Succession(Place self, std::uint64_t incarnation, Groups &groups,
              SuccessionPort &port, ProxyMetrics &metrics, const Clock &clock);
 
-  /// \param record nothing: there is none.
+  /// \param record empty if the store has none.
   void takeRecord(const std::optional<DutyRecord> &record,
                   std::uint64_t revision);
   void takeWritten(CallOutcome outcome);
   void takeMembers(const std::vector<Member> &live);
-  /// \param number that the call carried; nothing: that of the last one. The
-  /// answer to an older choice is passed over.
+  /// \param number of the call; if empty, that of the last one. An answer to
+  /// an older decision is ignored.
   void takePromoted(const GroupName &group, CallOutcome outcome,
                     std::optional<std::uint64_t> number = std::nullopt);
   void takeEvidence(const GroupName &group, const PeerEvidence &evidence);
@@ -138,7 +142,7 @@
   void tick();
 
   bool holds() const;
-  /// Of this daemon; before it holds the duty.
+  /// Sets this daemon's incarnation; call only before it becomes leader.
   void raiseIncarnation(std::uint64_t incarnation) {
     Incarnation = incarnation;
   }
@@ -146,62 +150,62 @@
 private:
   enum class Step : std::uint8_t {
     Watching,
-    Asking,
-    Choosing,
-    Calling,
+    Confirming,
+    Selecting,
+    Promoting,
     Settling
   };
   struct Change {
-    Step At = Step::Watching;
+    Step CurrentStep = Step::Watching;
     TimePoint Since{};
     TimePoint NotBefore{};
     bool Planned = false;
-    std::optional<PeerEvidence> Evidence;
+    std::optional<PeerEvidence> Reports;
     bool TargetsRead = false;
-    std::map<TargetName, TargetStatus> Heard;
-    std::set<TargetName> Asked;
-    std::set<TargetName> Failed; ///< Promotions that did not take.
+    std::map<TargetName, TargetStatus> Statuses;
+    std::set<TargetName> Pending;
+    std::set<TargetName> FailedTargets; ///< Targets whose promotion failed.
     TargetName Chosen;
     std::uint64_t Number = 0;
     unsigned Calls = 0;
-    unsigned Unanswered = 0; ///< Of these.
+    unsigned Unanswered = 0; ///< Of Calls.
     TimePoint LastCall{};
   };
 
-  void tickDuty(TimePoint now);
-  void seeHolder();
-  void forgetSuspicions();
-  void missHolder(TimePoint now);
-  void claim(TimePoint now);
-  void extend();
-  std::optional<std::size_t> rank() const;
+  void tickLeadership(TimePoint now);
+  void noteHolderSeen();
+  void restartSuspicions();
+  void handleMissingHolder(TimePoint now);
+  void claimLeadership(TimePoint now);
+  void reserveNumbers();
+  std::optional<std::size_t> takeoverRank() const;
   void tickGroup(const GroupName &name, Group &group, TimePoint now);
-  void watch(const GroupName &name, Group &group, Change &change,
-             TimePoint now);
-  void decide(const GroupName &name, Group &group, Change &change,
-              TimePoint now);
-  void beginChoice(const GroupName &name, Group &group, Change &change);
-  void askStatus(const GroupName &name, Group &group, Change &change);
-  void choose(const GroupName &name, Group &group, Change &change,
-              TimePoint now);
-  void beginCalls(const GroupName &name, Change &change);
-  void call(const GroupName &name, Change &change);
+  void detectFailure(const GroupName &name, Group &group, Change &change,
+                     TimePoint now);
+  void confirmFailure(const GroupName &name, Group &group, Change &change,
+                      TimePoint now);
+  void beginSelection(const GroupName &name, Group &group, Change &change);
+  void queryStatus(const GroupName &name, Group &group, Change &change);
+  void selectReplica(const GroupName &name, Group &group, Change &change,
+                     TimePoint now);
+  void beginPromotion(const GroupName &name, Change &change);
+  void sendPromotion(const GroupName &name, Change &change);
 
   Place Self;
   std::uint64_t Incarnation;
   Groups &Targets;
   SuccessionPort &Port;
-  ProxyMetrics &Counts;
+  ProxyMetrics &Metrics;
   const Clock &Time;
   std::optional<DutyRecord> Record;
   std::uint64_t Revision = 0;
-  bool Known = false; ///< The record, or that there is none.
+  bool RecordKnown = false; ///< Record is up to date, also if empty.
   bool Writing = false;
   std::uint64_t NextNumber = 0;
   std::vector<Member> Live;
-  TimePoint HolderSeen{};
-  bool StoreAsked = false;               ///< Since the holder is missed.
-  std::optional<TimePoint> StoreReached; ///< And when it answered.
+  TimePoint HolderSeenAt{};
+  bool StoreQueried = false; ///< Since the leader has been missing.
+  std::optional<TimePoint> StoreReachedAt; ///< When the store answered that.
   TimePoint NextClaim{};
   TimePoint LastTick{};
   std::map<GroupName, Change> Changes;
--- a/tests/proxy/gone_members_test.cpp
+++ b/tests/proxy/gone_members_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct GoneFixture {
+struct GoneMembersFixture {
   ManualClock Time;
   GoneMembers Gone;
   std::vector<VmName> Listed{VmName("a"), VmName("b")};
@@ -21,26 +21,28 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(GoneFixture, "daemon missing for long, is to be removed") {
+TEST_CASE_FIXTURE(GoneMembersFixture, "daemon missing for long, is removed") {
   CHECK(Gone.update(Listed, {member("a")}, true, Time.now()).empty());
-  Time.advance(limits::DaemonGone);
+  Time.advance(limits::DaemonGoneAfter);
   CHECK(Gone.update(Listed, {member("a")}, true, Time.now()) ==
         std::vector<VmName>{VmName("b")});
 }
 
-TEST_CASE_FIXTURE(GoneFixture, "daemon heard in between, counts anew") {
+TEST_CASE_FIXTURE(GoneMembersFixture,
+                  "daemon seen in between, its time starts again") {
   Gone.update(Listed, {member("a")}, true, Time.now());
-  Time.advance(limits::DaemonGone / 2);
+  Time.advance(limits::DaemonGoneAfter / 2);
   Gone.update(Listed, {member("a"), member("b")}, true, Time.now());
-  Time.advance(limits::DaemonGone / 2);
+  Time.advance(limits::DaemonGoneAfter / 2);
   CHECK(Gone.update(Listed, {member("a")}, true, Time.now()).empty());
 }
 
-TEST_CASE_FIXTURE(GoneFixture, "daemon missing for long, another holds the "
-                               "duty, is left to that one") {
+TEST_CASE_FIXTURE(GoneMembersFixture,
+                  "daemon missing for long, only the failover "
+                  "leader removes it") {
   Gone.update(Listed, {member("a")}, false, Time.now());
-  Time.advance(limits::DaemonGone);
+  Time.advance(limits::DaemonGoneAfter);
   CHECK(Gone.update(Listed, {member("a")}, false, Time.now()).empty());
-  // The time counts from when it was missed, not from when the duty was taken.
+  // Counted from when it was first missing, also before becoming leader.
   CHECK(Gone.update(Listed, {member("a")}, true, Time.now()).size() == 1);
 }
--- a/tests/proxy/group_view_test.cpp
+++ b/tests/proxy/group_view_test.cpp
@@ -27,55 +27,55 @@
 } // namespace
 
 TEST_CASE_FIXTURE(GroupViewFixture,
-                  "position for an age, takes the oldest young enough") {
-  View.noteLead(Old, {1, 10}, Time.now());
+                  "position for an age, is the oldest one recent enough") {
+  View.noteLeading(Old, {1, 10}, Time.now());
   Time.advance(milliseconds(600));
-  View.noteLead(Old, {1, 20}, Time.now());
+  View.noteLeading(Old, {1, 20}, Time.now());
   Time.advance(milliseconds(600));
   CHECK(View.positionFor(milliseconds(1'500), Time.now()) == Position{1, 10});
   CHECK(View.positionFor(milliseconds(800), Time.now()) == Position{1, 20});
   CHECK_FALSE(View.positionFor(milliseconds(500), Time.now()));
 }
 
-// Reads are refused as lagging for as long as the bound reaches back. The old
-// primary's last records are not in its successor's log, and no replica of
-// the successor ever holds them.
+// The old primary's last records may be missing from the new primary's log, so
+// no replica ever reaches their positions. If these still applied, reads would
+// be refused as lagging for the whole staleness bound.
 TEST_CASE_FIXTURE(GroupViewFixture,
-                  "new leader, positions of the old one bound nothing") {
-  View.noteLead(Old, {1, 158}, Time.now());
+                  "new leader, positions of the old one are discarded") {
+  View.noteLeading(Old, {1, 158}, Time.now());
   Time.advance(milliseconds(100));
-  View.noteLead(Next, {1, 115}, Time.now());
+  View.noteLeading(Next, {1, 115}, Time.now());
   CHECK(View.positionFor(milliseconds(1'500), Time.now()) == Position{1, 115});
 }
 
 TEST_CASE_FIXTURE(GroupViewFixture,
                   "answer of an older term, after a newer one, is ignored") {
-  View.noteLead(Next, {2, 5}, Time.now());
-  CHECK_FALSE(View.noteLead(Old, {1, 158}, Time.now()));
+  View.noteLeading(Next, {2, 5}, Time.now());
+  CHECK_FALSE(View.noteLeading(Old, {1, 158}, Time.now()));
   CHECK(View.leader() == Next);
 }
 
 TEST_CASE_FIXTURE(GroupViewFixture,
-                  "entry that claims to lead anew, is believed") {
-  View.takeEntries({entry(Old, true, 4), entry(Next, false, 5)});
+                  "entry newly claims to lead, becomes the leader") {
+  View.updateEntries({entry(Old, true, 4), entry(Next, false, 5)});
   CHECK(View.leader() == Old);
-  View.takeEntries({entry(Old, true, 4), entry(Next, true, 9)});
+  View.updateEntries({entry(Old, true, 4), entry(Next, true, 9)});
   CHECK(View.leader() == Next);
 }
 
-// Writes go to a target that refuses them all. The old primary was cut from
-// the store as it was replaced, and its entry goes on claiming the lead.
+// An old primary that was partitioned from the store when it was replaced still
+// claims to lead in its entry. Writes must not be sent to it: it refuses them.
 TEST_CASE_FIXTURE(GroupViewFixture,
-                  "old claim, known not to lead, is not believed again") {
-  View.takeEntries({entry(Old, true, 4), entry(Next, false, 5)});
+                  "old claim of a target known not to lead, is ignored") {
+  View.updateEntries({entry(Old, true, 4), entry(Next, false, 5)});
   View.noteNotLeading(Old);
-  View.takeEntries({entry(Old, true, 4), entry(Next, false, 6)});
+  View.updateEntries({entry(Old, true, 4), entry(Next, false, 6)});
   CHECK_FALSE(View.leader());
 }
 
 TEST_CASE_FIXTURE(GroupViewFixture,
-                  "leader that started anew, leads nothing until it says so") {
-  View.takeEntries({entry(Old, true, 4), entry(Next, false, 5)});
-  View.takeEntries({entry(Old, false, 8, 2), entry(Next, false, 5)});
+                  "leader restarted, does not lead until it claims to") {
+  View.updateEntries({entry(Old, true, 4), entry(Next, false, 5)});
+  View.updateEntries({entry(Old, false, 8, 2), entry(Next, false, 5)});
   CHECK_FALSE(View.leader());
 }
--- a/tests/proxy/members.h
+++ b/tests/proxy/members.h
@@ -1,5 +1,5 @@
 /// \file
-/// Daemons of one failure domain, whose addresses are their names.
+/// Daemons of one failure domain, whose addresses equal their names.
 
 #ifndef PERIDOTFALL_TESTS_PROXY_MEMBERS_H
 #define PERIDOTFALL_TESTS_PROXY_MEMBERS_H
--- a/tests/proxy/metrics_test.cpp
+++ b/tests/proxy/metrics_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 struct ProxyMetricsFixture : ProxyFixture {
-  /// \return the value of a series, by its name and labels; 0: not there.
+  /// \return the value of a series, by its name and labels; 0 if missing.
   double value(const std::string &series) {
     auto text = writeText(Counts, {});
     auto at = text.find("\n" + series + " ");
@@ -23,8 +23,8 @@
 
 } // namespace
 
-// A write finds no primary and waits; the one that is listed later runs it.
-// The time that it waited stands under what it waited for.
+// A write waits because there is no primary, and is run by the one listed
+// later. Its wait must be counted by what it waited for.
 TEST_CASE_FIXTURE(ProxyMetricsFixture,
                   "write that waited for a primary, its wait is counted") {
   Entries.at(TargetName("p")).ClaimsPrimary = false;
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE_FIXTURE(ProxyMetricsFixture,
-                  "answers of targets, counted by what they say") {
+                  "answers of targets, counted by result") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a 1");
   greetAll();
@@ -66,8 +66,8 @@
   CHECK(value("peridotfall_target_answers_total{answer=\"none\"}") == 1);
 }
 
-// A replica's answer stands at an older position than the newest head that is
-// known; how old its view is at most is what the route's bound speaks of.
+// A replica answers from an older position than the newest known log head. The
+// maximum age of its view, which the route's bound limits, must be counted.
 TEST_CASE_FIXTURE(ProxyMetricsFixture,
                   "read at a replica, age of its view is counted") {
   learnHead();
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE_FIXTURE(ProxyMetricsFixture,
-                  "answers of the store, their age is shown by kind") {
+                  "answers of the store, their age is reported by kind") {
   ProxyGauges now;
   now.StoreAges = {{"targets", milliseconds(2'500)}};
   auto text = writeText(Counts, now);
--- a/tests/proxy/own_record_test.cpp
+++ b/tests/proxy/own_record_test.cpp
@@ -27,35 +27,35 @@
   CHECK_FALSE(Record.isDue(true, Time.now()));
 }
 
-// Others see a daemon that never comes back: the VM was started anew and its
-// time of day had gone back, so that its incarnation is below that of the
-// process before it, and what it says of itself is ignored.
+// The VM was restarted and its wall clock had gone back, so the new incarnation
+// is below that of the previous process. Other daemons would ignore its reports
+// and consider it missing.
 TEST_CASE_FIXTURE(OwnRecordFixture,
-                  "forerunner with a higher incarnation, is followed") {
+                  "previous process had a higher incarnation, it is exceeded") {
   CHECK(Record.takeListed(90));
   CHECK(Record.incarnation() == 91);
   CHECK_FALSE(Record.takeListed(90));
 }
 
-TEST_CASE_FIXTURE(OwnRecordFixture, "own write listed, keeps its incarnation") {
+TEST_CASE_FIXTURE(OwnRecordFixture, "own write listed, incarnation is kept") {
   write(true);
   CHECK_FALSE(Record.takeListed(70));
   CHECK(Record.incarnation() == 70);
 }
 
-// A daemon that was cut off for long was taken for gone, and its object was
-// removed. Once it reads that, others must find it again.
+// The object of a daemon that was partitioned for long was removed. The daemon
+// must write it again once it reads that, so that others find it.
 TEST_CASE_FIXTURE(OwnRecordFixture, "own record removed, is written again") {
   write(true);
-  Time.advance(limits::AnnouncePause);
+  Time.advance(limits::OwnRecordRetryPause);
   CHECK_FALSE(Record.isDue(true, Time.now()));
   CHECK_FALSE(Record.takeListed(std::nullopt));
   CHECK(Record.isDue(true, Time.now()));
 }
 
-TEST_CASE_FIXTURE(OwnRecordFixture, "write failed, is tried after a pause") {
+TEST_CASE_FIXTURE(OwnRecordFixture, "write failed, is repeated after a pause") {
   write(false);
   CHECK_FALSE(Record.isDue(true, Time.now()));
-  Time.advance(limits::AnnouncePause);
+  Time.advance(limits::OwnRecordRetryPause);
   CHECK(Record.isDue(true, Time.now()));
 }
--- a/tests/proxy/succession_test.cpp
+++ b/tests/proxy/succession_test.cpp
@@ -25,34 +25,34 @@
                std::uint64_t number) override {
     Promotions.push_back({target, number});
   }
-  /// \return the promotions, each one once: a silent call is made again.
+  /// \return the promotions without the repeated calls of each.
   std::vector<Promotion> choices() const {
     auto out = Promotions;
     out.erase(std::unique(out.begin(), out.end()), out.end());
     return out;
   }
   void readTargets() override {}
-  void askPeers(const GroupName &) override { ++Asked; }
+  void askPeers(const GroupName &) override { ++PeerQueries; }
 
   std::optional<DutyRecord> Written;
   std::uint64_t WrittenOver = 0;
   unsigned Reads = 0;
-  unsigned Asked = 0;
+  unsigned PeerQueries = 0;
   std::vector<Promotion> Promotions;
 };
 
-/// The daemon "vm" holds the duty; the primary "p" and the replicas are played
-/// by the test.
-struct SuccessionFixture : ProxyFixture {
+/// The daemon "vm" is the failover leader; the test simulates the primary "p"
+/// and the replicas.
+struct FailoverControllerFixture : ProxyFixture {
   static constexpr std::uint64_t Incarnation = 7;
 
   FakeCalls Calls;
-  Succession Duty{{VmName("vm"), DomainName("press"), RegionName("tartu")},
-                  Incarnation,
-                  All,
-                  Calls,
-                  Counts,
-                  Time};
+  Succession Failover{{VmName("vm"), DomainName("press"), RegionName("tartu")},
+                      Incarnation,
+                      All,
+                      Calls,
+                      Counts,
+                      Time};
   bool PrimaryAnswers = true;
   std::map<std::string, Position> Received{{"r", {InTerm, 90}},
                                            {"s", {InTerm, 95}}};
@@ -64,15 +64,15 @@
     it.Incarnation = incarnation;
     return it;
   }
-  void hold(std::uint64_t first = 11) {
-    Duty.takeMembers({member("vm", Incarnation)});
-    Duty.takeRecord(DutyRecord{VmName("vm"), Incarnation, first, first + 64},
-                    5);
+  void becomeLeader(std::uint64_t first = 11) {
+    Failover.takeMembers({member("vm", Incarnation)});
+    Failover.takeRecord(
+        DutyRecord{VmName("vm"), Incarnation, first, first + 64}, 5);
   }
-  /// The other daemons and the store answer.
-  void hear(const PeerEvidence &evidence) {
-    Duty.takeEvidence(GroupName("ledger"), evidence);
-    Duty.takeTargetsRead();
+  /// Answers for the other daemons and the store.
+  void reportFromPeers(const PeerEvidence &evidence) {
+    Failover.takeEvidence(GroupName("ledger"), evidence);
+    Failover.takeTargetsRead();
   }
   Answer answerOf(const std::string &target, const Statement &it) {
     if (it.Kind == StatementKind::Status) {
@@ -90,9 +90,9 @@
   bool answers(const std::string &target) {
     return !Silent.contains(target) && (target != "p" || PrimaryAnswers);
   }
-  /// Targets that answer do so at once; the primary's connections are refused
-  /// when it does not.
-  void playTargets() {
+  /// Targets answer at once. Those that are silent or crashed refuse new
+  /// connections.
+  void simulateTargets() {
     auto opening = std::exchange(Links.Opening, {});
     for (auto id : opening) {
       auto target = Links.Lines.at(id).Target;
@@ -116,11 +116,11 @@
     constexpr milliseconds Step{20};
     for (Duration done{}; done < span; done += Step) {
       Time.advance(Step);
-      playTargets();
+      simulateTargets();
       All.use(GroupName("ledger"));
       All.tick();
-      Duty.tick();
-      playTargets();
+      Failover.tick();
+      simulateTargets();
     }
   }
   void crashPrimary() {
@@ -133,9 +133,9 @@
       All.withPools(TargetName("p"),
                     [&](TargetPool &pool) { pool.closed(id); });
   }
-  /// The primary crashes under a holder of the duty, which then suspects it.
-  void missPrimary() {
-    hold();
+  /// The primary crashes and the failover leader suspects it.
+  void suspectPrimary() {
+    becomeLeader();
     run(milliseconds(1'000));
     crashPrimary();
     run(milliseconds(680));
@@ -144,33 +144,34 @@
 
 } // namespace
 
-// Callers cannot write. The primary refuses connections, no other daemon
-// reaches it, and the replica that has received most takes its place.
-TEST_CASE_FIXTURE(SuccessionFixture,
+// Callers cannot write while the group has no primary. The primary refuses
+// connections, no other daemon reaches it, and the replica that has received
+// most must be promoted.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "primary dead, replica with most records is promoted") {
-  hold();
+  becomeLeader();
   run(milliseconds(1'000));
-  CHECK(Calls.Asked == 0);
+  CHECK(Calls.PeerQueries == 0);
   crashPrimary();
   run(milliseconds(680));
-  CHECK(Calls.Asked == 1);
+  CHECK(Calls.PeerQueries == 1);
   CHECK(Calls.Promotions.empty());
-  hear({8, 0});
+  reportFromPeers({8, 0});
   run(milliseconds(100));
   CHECK(Calls.Promotions ==
         std::vector<FakeCalls::Promotion>{{TargetName("s"), 11}});
 }
 
-// Writes fail for the time from the primary's death to its successor's first
-// answer; which part of that took how long is counted.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "primary replaced, each part of the gap is counted") {
-  missPrimary();
-  hear({8, 0});
+// Writes fail from the primary's crash to the new primary's first answer. The
+// duration of each part of that time is measured.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "primary replaced, each part of the outage is counted") {
+  suspectPrimary();
+  reportFromPeers({8, 0});
   run(milliseconds(100));
   REQUIRE(Calls.Promotions.size() == 1);
   Time.advance(milliseconds(40));
-  Duty.takePromoted(GroupName("ledger"), CallOutcome::Done);
+  Failover.takePromoted(GroupName("ledger"), CallOutcome::Done);
   Entries.at(TargetName("s")).ClaimsPrimary = true;
   Entries.at(TargetName("s")).Revision = 9;
   All.takeTargets(Entries);
@@ -183,65 +184,67 @@
   }
 }
 
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "primary missed, most others reach it, it is not replaced") {
-  missPrimary();
-  hear({8, 6});
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "primary unreachable here, most others reach it, it is "
+                  "not replaced") {
+  suspectPrimary();
+  reportFromPeers({8, 6});
   run(milliseconds(400));
   CHECK(Calls.Promotions.empty());
 }
 
-// A call without an answer may be carried out seconds later. The choice that
-// follows it carries a higher number, so that the late one is refused.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "promotion without an answer, next choice has a new number") {
-  missPrimary();
-  hear({8, 0});
+// A call without an answer may be carried out seconds later. The next decision
+// has a higher number, so that the late call is refused.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "promotion without an answer, next decision has a new "
+                  "number") {
+  suspectPrimary();
+  reportFromPeers({8, 0});
   run(milliseconds(100));
-  Duty.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
   REQUIRE(Calls.Promotions.size() == 2);
   CHECK(Calls.Promotions[0] == Calls.Promotions[1]);
-  Duty.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
   run(milliseconds(240));
-  hear({8, 0});
+  reportFromPeers({8, 0});
   run(milliseconds(300));
   REQUIRE(Calls.choices().size() == 2);
   CHECK(Calls.choices()[1] == FakeCalls::Promotion{TargetName("r"), 12});
 }
 
-// Callers cannot write. The platform's answer to the promotion is lost; asked
-// again beside the silent call, it answers at once. Whichever of the two it
-// carries out, number and target are the same.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "promotion silent, is asked for again beside it") {
-  missPrimary();
-  hear({8, 0});
+// The group has no primary while the platform's answer to the promotion is
+// lost. The call is repeated in parallel with the same number and target, so
+// the outcome is the same whichever is carried out.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "promotion without an answer, is repeated in parallel") {
+  suspectPrimary();
+  reportFromPeers({8, 0});
   run(milliseconds(100));
   REQUIRE(Calls.Promotions.size() == 1);
   run(milliseconds(160));
   REQUIRE(Calls.Promotions.size() == 2);
   CHECK(Calls.Promotions[0] == Calls.Promotions[1]);
   run(milliseconds(1'000));
-  CHECK(Calls.Promotions.size() == proxy::limits::MostPromotionCalls);
-  // One that ends without an answer leaves the others to be waited for.
-  Duty.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
-  Duty.takePromoted(GroupName("ledger"), CallOutcome::Done);
+  CHECK(Calls.Promotions.size() == proxy::limits::MaxPromotionCalls);
+  // When one call times out, the answers of the others are still awaited.
+  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.takePromoted(GroupName("ledger"), CallOutcome::Done);
   run(milliseconds(500));
   for (const auto &it : Calls.Promotions)
     CHECK(it == Calls.Promotions[0]);
 }
 
-// Callers lose what the new primary has acknowledged. The duty's new holder
-// was cut off while another promoted "s"; "s" is silent for it still, and the
-// old primary is the only one that answers.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "one of two replicas silent, choice waits for it") {
-  hold();
+// Guards against the loss of what a new primary has acknowledged. The new
+// failover leader was partitioned while another one promoted "s", which it
+// cannot reach yet. The old primary is the only target that answers.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "one of two replicas silent, promotion waits for it") {
+  becomeLeader();
   run(milliseconds(1'000));
   crashPrimary();
   Silent.insert("s");
   run(milliseconds(680));
-  hear({8, 0});
+  reportFromPeers({8, 0});
   run(milliseconds(600));
   CHECK(Calls.Promotions.empty());
   run(milliseconds(600));
@@ -249,20 +252,21 @@
   CHECK(Calls.choices()[0].Target.Value == "r");
 }
 
-// Callers lose acknowledged records. A daemon that was cut off takes the duty
-// as the cut heals, and acts on a primary that it has missed all the while.
-// Commits of the group are acknowledged once one replica has them. The replica
-// that has the last ones is silent for two seconds after the primary's death;
-// were the other one promoted, acknowledged records would be gone.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "synchronous replica silent for long, choice waits for it") {
+// Guards against the loss of acknowledged records. A daemon becomes failover
+// leader when a partition ends, and replaces a primary that it has not reached
+// during the partition. Commits are acknowledged once one replica has them, and
+// the replica with the last ones is silent for two seconds after the primary's
+// crash. Promoting the other replica would lose these records.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "synchronous replica silent for long, promotion waits for "
+                  "it") {
   All.takeSettings({{GroupName("ledger"), {16, true}}});
-  hold();
+  becomeLeader();
   run(milliseconds(1'000));
   Silent = {"s"};
   crashPrimary();
   run(milliseconds(680));
-  hear({8, 0});
+  reportFromPeers({8, 0});
   run(milliseconds(2'000));
   CHECK(Calls.Promotions.empty());
   Silent.clear();
@@ -271,43 +275,45 @@
         std::vector<FakeCalls::Promotion>{{TargetName("s"), 11}});
 }
 
-// A holder of the duty that was frozen goes on as if no time had passed, while
-// another daemon has taken the duty. It asks who holds it before anything else.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "holder frozen, reads the record when it wakes") {
-  hold();
+// A failover leader that was frozen may have been replaced by another daemon.
+// It must read the record before it decides anything.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "leader frozen, reads the record when it resumes") {
+  becomeLeader();
   run(milliseconds(200));
   auto before = Calls.Reads;
   Time.advance(std::chrono::seconds(4));
-  Duty.tick();
+  Failover.tick();
   CHECK(Calls.Reads == before + 1);
 }
 
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "duty just taken, primary is suspected only from then on") {
-  Duty.takeMembers({member("vm", Incarnation)});
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "leadership just acquired, primary is suspected only from "
+                  "then on") {
+  Failover.takeMembers({member("vm", Incarnation)});
   crashPrimary();
   run(milliseconds(3'000));
-  hold();
+  becomeLeader();
   run(milliseconds(400));
-  CHECK(Calls.Asked == 0);
+  CHECK(Calls.PeerQueries == 0);
   run(milliseconds(400));
-  CHECK(Calls.Asked == 1);
+  CHECK(Calls.PeerQueries == 1);
 }
 
-// Two daemons promote in turn. One that is cut from the store and from the
-// holder cannot tell whether the holder lives; it claims the duty only when
-// the store has answered and the holder is still missed a while after that.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "holder missed, duty is claimed a lease after the store "
-                  "was read") {
+// Guards against two daemons promoting in turn. A daemon that is partitioned
+// from the store and the leader cannot tell whether the leader is alive. It
+// claims leadership only after the store has answered and the leader has still
+// been missing for a time after that.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "leader missing, leadership is claimed only some time "
+                  "after the store was read") {
   DutyRecord other{VmName("other"), 3, 1, 64};
-  Duty.takeRecord(other, 9);
-  Duty.takeMembers({member("vm", Incarnation)});
+  Failover.takeRecord(other, 9);
+  Failover.takeMembers({member("vm", Incarnation)});
   run(milliseconds(5'000));
   CHECK_FALSE(Calls.Written);
   CHECK(Calls.Reads >= 1);
-  Duty.takeRecord(other, 9);
+  Failover.takeRecord(other, 9);
   run(milliseconds(600));
   CHECK_FALSE(Calls.Written);
   run(milliseconds(1'000));
@@ -316,13 +322,13 @@
   CHECK(Calls.WrittenOver == 9);
 }
 
-// All daemons are killed at once, and a primary fails just after they are back.
-// The record names the process that was killed; the one that follows it on the
-// same VM knows that it has ended, and does not wait for its lease.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "holder started anew, takes its duty back at once") {
-  Duty.takeRecord(DutyRecord{VmName("vm"), Incarnation - 1, 1, 64}, 9);
-  Duty.takeMembers({member("vm", Incarnation), member("other", 3)});
+// All daemons are killed at once and a primary fails just after their restart.
+// The record names a killed process. The next process on the same VM need not
+// wait for the lease to expire.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "leader restarted, claims leadership again at once") {
+  Failover.takeRecord(DutyRecord{VmName("vm"), Incarnation - 1, 1, 64}, 9);
+  Failover.takeMembers({member("vm", Incarnation), member("other", 3)});
   run(milliseconds(40));
   REQUIRE(Calls.Written);
   CHECK(Calls.Written->Incarnation == Incarnation);
@@ -330,32 +336,34 @@
   CHECK(Calls.WrittenOver == 9);
 }
 
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "holder missed and heard again, duty is not claimed") {
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "leader missing and seen again, leadership is not claimed") {
   DutyRecord other{VmName("other"), 3, 1, 64};
-  Duty.takeRecord(other, 9);
-  Duty.takeMembers({member("vm", Incarnation)});
+  Failover.takeRecord(other, 9);
+  Failover.takeMembers({member("vm", Incarnation)});
   run(milliseconds(4'000));
-  Duty.takeRecord(other, 9);
-  Duty.takeMembers({member("vm", Incarnation), member("other", 3)});
+  Failover.takeRecord(other, 9);
+  Failover.takeMembers({member("vm", Incarnation), member("other", 3)});
   run(milliseconds(4'000));
   CHECK_FALSE(Calls.Written);
 }
 
-TEST_CASE_FIXTURE(SuccessionFixture, "no record, duty is claimed at once") {
-  Duty.takeRecord(std::nullopt, 0);
-  Duty.takeMembers({member("vm", Incarnation)});
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "no record, leadership is claimed at once") {
+  Failover.takeRecord(std::nullopt, 0);
+  Failover.takeMembers({member("vm", Incarnation)});
   run(milliseconds(100));
   REQUIRE(Calls.Written);
   CHECK(Calls.Written->First == 1);
   CHECK(Calls.WrittenOver == 0);
 }
 
-// Callers' writes wait until the hand-over; none is lost by it. The primary
-// drains, and its successor must have received all that it has.
-TEST_CASE_FIXTURE(SuccessionFixture,
-                  "primary leaving, promotion waits for a level replica") {
-  hold();
+// No write may be lost in a planned hand-over. The primary is leaving, and the
+// replica to be promoted must have received all of its records.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
+                  "primary leaving, promotion waits until a replica has "
+                  "caught up") {
+  becomeLeader();
   run(milliseconds(1'000));
   Entries.at(TargetName("p")).Leaving = true;
   All.takeTargets(Entries);
@@ -367,16 +375,16 @@
   CHECK(Calls.Promotions[0].Target.Value == "s");
 }
 
-// The primary was replaced by another holder while this one was cut off. The
-// list that is read before the decision names the new primary.
-TEST_CASE_FIXTURE(SuccessionFixture,
+// Another leader replaced the primary while this daemon was partitioned. The
+// list of targets that is read before the decision names the new primary.
+TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "primary suspected, list names a new one, none is promoted") {
-  missPrimary();
-  REQUIRE(Calls.Asked == 1);
+  suspectPrimary();
+  REQUIRE(Calls.PeerQueries == 1);
   Entries.at(TargetName("s")).ClaimsPrimary = true;
   Entries.at(TargetName("s")).Revision = 20;
   All.takeTargets(Entries);
-  hear({8, 0});
+  reportFromPeers({8, 0});
   run(milliseconds(100));
   CHECK(Calls.Promotions.empty());
 }
