--- a/src/daemon/confirm.cpp
+++ b/src/daemon/confirm.cpp
@@ -9,8 +9,8 @@
 
 using failover::TargetReport;
 
-/// The rounds of one primary.
-struct Confirmer::Line {
+/// The confirmation rounds of one primary, and its group's targets.
+struct Confirmer::PrimaryRounds {
   std::mutex Lock;
   failover::ConfirmState State;
   DatabaseConfig Database;
@@ -19,60 +19,61 @@
   std::map<TicketHandle, OnConfirmed> Waiting;
 };
 
-void Confirmer::run(const Clock &clock, const LinePtr &line, const Step &step) {
+void Confirmer::run(const Clock &clock, const RoundsPtr &rounds,
+                    const Step &step) {
   failover::ConfirmActions actions;
   std::vector<std::pair<OnConfirmed, bool>> answers;
   {
-    std::lock_guard guard(line->Lock);
-    actions = step(line->State);
+    std::lock_guard guard(rounds->Lock);
+    actions = step(rounds->State);
     for (const auto &it : actions)
       if (const auto *done = std::get_if<failover::Confirmed>(&it)) {
-        auto waiting = line->Waiting.extract(done->Ticket);
+        auto waiting = rounds->Waiting.extract(done->Ticket);
         answers.emplace_back(std::move(waiting.mapped()), done->Safe);
       }
   }
   for (const auto &it : actions)
     if (const auto *replicas = std::get_if<failover::AskReplicas>(&it))
-      ask(clock, line, *replicas);
+      query(clock, rounds, *replicas);
     else if (const auto *primary = std::get_if<failover::AskPrimary>(&it))
-      ask(clock, line, *primary);
+      query(clock, rounds, *primary);
   for (const auto &[done, safe] : answers)
     done(safe);
 }
 
-void Confirmer::ask(const Clock &clock, const LinePtr &line,
-                    const failover::AskReplicas &it) {
-  auto done = [&clock, line, it](const Result<target::Status> &status) {
+void Confirmer::query(const Clock &clock, const RoundsPtr &rounds,
+                      const failover::AskReplicas &it) {
+  auto done = [&clock, rounds, it](const Result<target::Status> &status) {
     std::optional<TargetReport> report;
     if (status)
       report = toReport(status.value());
-    run(clock, line, [&](failover::ConfirmState &state) {
+    run(clock, rounds, [&](failover::ConfirmState &state) {
       return failover::onReplica(state, it.Round, report, clock.now());
     });
   };
   std::vector<TargetPtr> replicas;
   {
-    std::lock_guard guard(line->Lock);
-    replicas = line->Replicas;
+    std::lock_guard guard(rounds->Lock);
+    replicas = rounds->Replicas;
   }
   for (const auto &replica : replicas)
     replica->Calls.AwaitPosition(it.At.InTerm, it.At, it.Wait, done);
 }
 
-void Confirmer::ask(const Clock &clock, const LinePtr &line,
-                    const failover::AskPrimary &it) {
-  auto done = [&clock, line, it](const Result<target::Status> &status) {
+void Confirmer::query(const Clock &clock, const RoundsPtr &rounds,
+                      const failover::AskPrimary &it) {
+  auto done = [&clock, rounds, it](const Result<target::Status> &status) {
     std::optional<TargetReport> report;
     if (status)
       report = toReport(status.value());
-    run(clock, line, [&](failover::ConfirmState &state) {
+    run(clock, rounds, [&](failover::ConfirmState &state) {
       return failover::onPrimary(state, it.Round, report, clock.now());
     });
   };
   TargetPtr primary;
   {
-    std::lock_guard guard(line->Lock);
-    primary = line->Primary;
+    std::lock_guard guard(rounds->Lock);
+    primary = rounds->Primary;
   }
   primary->Calls.GetStatus(done);
 }
@@ -81,53 +82,53 @@
                                 const TargetName &primary, Position at,
                                 std::chrono::milliseconds limit,
                                 OnConfirmed done) {
-  LinePtr line;
+  RoundsPtr rounds;
   {
     std::lock_guard guard(Lock);
-    auto &it = Lines[primary];
+    auto &it = RoundsByPrimary[primary];
     if (!it)
-      it = std::make_shared<Line>();
-    line = it;
+      it = std::make_shared<PrimaryRounds>();
+    rounds = it;
   }
   bool possible = false;
   {
-    std::lock_guard guard(line->Lock);
-    if (line->Database != database) {
-      line->Database = database;
-      line->Primary.reset();
-      line->Replicas.clear();
+    std::lock_guard guard(rounds->Lock);
+    if (rounds->Database != database) {
+      rounds->Database = database;
+      rounds->Primary.reset();
+      rounds->Replicas.clear();
       for (const auto &it : database.Targets) {
         auto api = Apis.get(it.Address);
         if (it.Name == primary)
-          line->Primary = std::move(api);
+          rounds->Primary = std::move(api);
         else
-          line->Replicas.push_back(std::move(api));
+          rounds->Replicas.push_back(std::move(api));
       }
-      line->State.Replicas = line->Replicas.size();
+      rounds->State.Replicas = rounds->Replicas.size();
     }
-    possible = line->Primary && !line->Replicas.empty();
+    possible = rounds->Primary && !rounds->Replicas.empty();
   }
   if (!possible) {
     done(false);
     return;
   }
-  run(Time, line, [&](failover::ConfirmState &state) {
+  run(Time, rounds, [&](failover::ConfirmState &state) {
     TicketHandle ticket;
     auto now = Time.now();
     auto actions = failover::onCommitted(state, at, now + limit, now, ticket);
-    line->Waiting[ticket] = std::move(done);
+    rounds->Waiting[ticket] = std::move(done);
     return actions;
   });
 }
 
-void Confirmer::giveUpLate() {
-  std::map<TargetName, LinePtr> lines;
+void Confirmer::expire() {
+  std::map<TargetName, RoundsPtr> all;
   {
     std::lock_guard guard(Lock);
-    lines = Lines;
+    all = RoundsByPrimary;
   }
-  for (const auto &[primary, line] : lines)
-    run(Time, line, [&](failover::ConfirmState &state) {
+  for (const auto &[primary, rounds] : all)
+    run(Time, rounds, [&](failover::ConfirmState &state) {
       return failover::onConfirmTick(state, Time.now());
     });
 }
--- a/src/daemon/confirm.h
+++ b/src/daemon/confirm.h
@@ -1,6 +1,6 @@
 /// \file
-/// Confirmation: no write is acknowledged before a replica of the same term
-/// holds it.
+/// Confirmation of writes: a write is acknowledged only after a replica of the
+/// same term has it.
 
 #ifndef PERIDOTFALL_DAEMON_CONFIRM_H
 #define PERIDOTFALL_DAEMON_CONFIRM_H
@@ -21,38 +21,40 @@
 
 using OnConfirmed = std::function<void(bool confirmed)>;
 
-/// Runs the rounds of confirmation for the primaries that this daemon owns.
-/// Outlives its calls: the adapters of its targets hold a part of it.
+/// Runs confirmation rounds for the primaries that this daemon owns. The clock
+/// must outlive all calls on targets; the state of a primary is shared with
+/// their callbacks.
 class Confirmer {
 public:
   Confirmer(const Clock &clock, Targets &targets)
       : Time(clock), Apis(targets) {}
 
-  /// Asks the group's other targets, and then the primary once more, whether
-  /// a position is safe. Begun after the commit.
+  /// Queries the group's replicas, and then the primary again, whether a
+  /// position is safe. Must be called after the commit.
   /// \param done called once, on any thread.
   void confirmPosition(const DatabaseConfig &database,
                        const TargetName &primary, Position at,
                        std::chrono::milliseconds limit, OnConfirmed done);
-  /// Answers what is past its limit.
-  void giveUpLate();
+  /// Answers calls whose time limit has passed: not confirmed.
+  void expire();
 
 private:
-  struct Line;
-  using LinePtr = std::shared_ptr<Line>;
+  struct PrimaryRounds;
+  using RoundsPtr = std::shared_ptr<PrimaryRounds>;
   using Step =
       std::function<failover::ConfirmActions(failover::ConfirmState &)>;
 
-  static void run(const Clock &clock, const LinePtr &line, const Step &step);
-  static void ask(const Clock &clock, const LinePtr &line,
-                  const failover::AskReplicas &it);
-  static void ask(const Clock &clock, const LinePtr &line,
-                  const failover::AskPrimary &it);
+  static void run(const Clock &clock, const RoundsPtr &rounds,
+                  const Step &step);
+  static void query(const Clock &clock, const RoundsPtr &rounds,
+                    const failover::AskReplicas &it);
+  static void query(const Clock &clock, const RoundsPtr &rounds,
+                    const failover::AskPrimary &it);
 
   const Clock &Time;
   Targets &Apis;
   std::mutex Lock;
-  std::map<TargetName, LinePtr> Lines; ///< By primary.
+  std::map<TargetName, RoundsPtr> RoundsByPrimary;
 };
 
 } // namespace peridotfall
--- a/src/daemon/failover_calls.cpp
+++ b/src/daemon/failover_calls.cpp
@@ -1,4 +1,4 @@
-// The actions of a change of primary, performed.
+// Performs the actions of the failover state machine.
 
 #include "daemon/failover_calls.h"
 
@@ -15,10 +15,10 @@
 using telemetry::Event;
 using telemetry::field;
 
-/// Longest wait for another owner's view; a later one would be old.
-constexpr std::chrono::milliseconds PeerLimit{300};
-/// One lost probe must not cost a replica the reads that run on it.
-constexpr unsigned MissesToDisconnect = 2;
+/// Timeout of a call for another owner's view; a later view would be outdated.
+constexpr std::chrono::milliseconds PeerTimeout{300};
+/// Two, since one lost probe must not abort the reads running on a replica.
+constexpr unsigned MissedProbesToDisconnect = 2;
 
 const std::string &addressOf(const DatabaseConfig &database,
                              const TargetName &target) {
@@ -42,9 +42,10 @@
   return out;
 }
 
-/// Passes a status on to the router's view.
-void FailoverDriver::took(const GroupPtr &group, const TargetName &target,
-                          const Result<target::Status> &status) {
+/// Updates the group view that the router uses.
+void FailoverDriver::publishStatus(const GroupPtr &group,
+                                   const TargetName &target,
+                                   const Result<target::Status> &status) {
   TargetView view;
   view.Reachable = status.has_value();
   view.SeenAt = Time.now();
@@ -56,16 +57,17 @@
 void FailoverDriver::perform(const GroupPtr &group, const failover::Probe &it) {
   auto done = [self = shared_from_this(), group,
                it](const Result<target::Status> &status) {
-    self->took(group, it.Target, status);
+    self->publishStatus(group, it.Target, status);
     auto now = self->Time.now();
     failover::TargetReport report;
     if (status)
       report = toReport(status.value(), group->Config);
-    // Drained by the operators, a target leaves as if it said so itself.
+    // A target drained by the operators counts as leaving, as if it reported
+    // so.
     if (auto config = self->Config.get())
       report.Leaving |= isDrained(*config, it.Target);
     self->run(group, [&](failover::GroupState &state) {
-      auto &missed = group->Missed[it.Target];
+      auto &missed = group->MissedProbes[it.Target];
       missed = status ? 0 : missed + 1;
       if (missed == 1)
         telemetry::log(Event::TargetLost,
@@ -75,9 +77,10 @@
       return status ? failover::onStatus(state, it.Target, report, now)
                     : failover::onUnreachable(state, it.Target, now);
     });
-    // Again and again: an entry that has not heard yet opens new ones.
+    // Repeated with each failed probe: requests of entry daemons with an older
+    // view open new connections.
     if (!status)
-      self->disconnectLost(group, MissesToDisconnect);
+      self->disconnectUnreachable(group, MissedProbesToDisconnect);
   };
   Apis.get(addressOf(group->Config, it.Target))->Calls.GetStatus(done);
 }
@@ -97,8 +100,8 @@
     if (!result)
       return;
     auto answer = messages::decodeGroupViewAnswer(result.value().Body);
-    // An empty one comes from a daemon that does not watch the group; it must
-    // not count as one that misses the primary.
+    // An empty view comes from a daemon that does not watch the group. It must
+    // not count as a report that the primary is unreachable.
     if (!answer || answer.value().Seen.empty() || answer.value().Vm != it.Vm)
       return;
     auto now = self->Time.now();
@@ -112,7 +115,7 @@
     });
   };
   Peers.channel(peer->InnerAddress)
-      ->call(std::move(request), PeerLimit, std::move(done));
+      ->call(std::move(request), PeerTimeout, std::move(done));
 }
 
 void FailoverDriver::perform(const GroupPtr &group, const failover::Fence &it) {
@@ -133,7 +136,7 @@
   auto done = [self = shared_from_this(), group,
                it](const Result<target::Status> &status) {
     if (status)
-      self->took(group, it.Target, status);
+      self->publishStatus(group, it.Target, status);
     self->run(group, [&](failover::GroupState &state) {
       return failover::onPromoted(
           state, it.Target, it.InTerm, toOutcome(status),
@@ -165,20 +168,21 @@
   Platform.Get(
       platform::groupKey(group->Config.Name),
       [self = shared_from_this(), group](const Result<platform::Object> &it) {
-        self->readObject(group, it);
+        self->handleObject(group, it);
       });
 }
 
-void FailoverDriver::readObject(const GroupPtr &group,
-                                const Result<platform::Object> &it) {
+void FailoverDriver::handleObject(const GroupPtr &group,
+                                  const Result<platform::Object> &it) {
   std::optional<failover::GroupObject> object;
   bool absent = !it && it.error().Code == ErrorCode::NotFound;
   bool known = absent;
   if (it) {
     auto parsed = failover::parseGroupObject(it.value().Value);
     known = parsed.has_value();
-    // An object that cannot be read stays as it is: whoever replaced it could
-    // give a term that it gives away to another replica.
+    // An unreadable object is left as it is. It may contain a term that was
+    // already given to a replica, and an object written in its place could give
+    // the same term to another.
     if (parsed)
       object = std::move(parsed.value());
     else
@@ -222,20 +226,21 @@
                  {field("database", group->Config.Name.Value),
                   field("primary", it.Primary.Value),
                   field("term", it.InTerm)});
-  disconnectLost(group, 1);
+  disconnectUnreachable(group, 1);
 }
 
-/// Failure: the old primary froze with statements in flight. Symptom: their
-/// callers wait for their whole deadline, long after the new primary serves.
-/// Nothing it says can be confirmed any more, so its connections are closed
-/// and each statement is answered as lost at once; with a key it then runs on
-/// the new primary. One that still answers probes keeps its connections: its
-/// own "fenced" says more than a lost answer.
-void FailoverDriver::disconnectLost(const GroupPtr &group, unsigned missed) {
+/// If the old primary freezes with statements in flight, their callers would
+/// wait until their deadlines, long after the new primary serves. Its answers
+/// can no longer be confirmed, so its connections are closed and each statement
+/// is answered as lost at once; with a key it then runs on the new primary. A
+/// target that still answers probes keeps its connections: its answer "fenced"
+/// tells the caller more than a lost answer.
+void FailoverDriver::disconnectUnreachable(const GroupPtr &group,
+                                           unsigned missed) {
   std::vector<TargetName> lost;
   {
     std::lock_guard guard(group->Lock);
-    for (const auto &[name, n] : group->Missed)
+    for (const auto &[name, n] : group->MissedProbes)
       if (n >= missed && name != group->State.Primary)
         lost.push_back(name);
   }
--- a/src/daemon/failover_calls.h
+++ b/src/daemon/failover_calls.h
@@ -1,5 +1,6 @@
 /// \file
-/// From the targets' and the platform's words to the state machine's.
+/// Converts results of targets and the platform to inputs of the failover state
+/// machine.
 
 #ifndef PERIDOTFALL_DAEMON_FAILOVER_CALLS_H
 #define PERIDOTFALL_DAEMON_FAILOVER_CALLS_H
@@ -10,7 +11,7 @@
 
 namespace peridotfall {
 
-/// \return the report without whom the target follows.
+/// Leaves Following empty; the second form resolves it to a target's name.
 failover::TargetReport toReport(const target::Status &it);
 failover::TargetReport toReport(const target::Status &it,
                                 const DatabaseConfig &database);
--- a/src/daemon/failover_driver.cpp
+++ b/src/daemon/failover_driver.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Short against the shortest wait of the machine.
+/// Short compared with the shortest timeout of the state machine.
 constexpr std::chrono::milliseconds Tick{25};
 
 std::uint64_t randomSeed() {
@@ -55,9 +55,9 @@
   });
 }
 
-/// The load: thousands of groups in the configuration and a membership that
-/// changes some hundred times a day. The harm prevented: ranking every target
-/// with each tick. Nothing is ranked while neither has changed.
+/// A configuration may have thousands of groups, and the membership changes
+/// some hundred times a day. Ranking the owners of every target with each tick
+/// would be costly, so it is done only when one of the two has changed.
 void FailoverDriver::refreshGroups() {
   auto config = Config.get();
   if (!config)
@@ -89,7 +89,7 @@
   failover::setTargets(old->State, owners, now);
   if (old->Config == database)
     return old;
-  // Calls under way belong to the old group, which does nothing more.
+  // Calls in flight belong to the old group, whose results are ignored.
   return std::make_shared<Group>(database, old->State);
 }
 
@@ -115,7 +115,7 @@
 }
 
 void FailoverDriver::run(const GroupPtr &group, const Step &step) {
-  // A group that was given up while a call was under way does nothing more.
+  // The group may have been replaced or removed while a call was in flight.
   if (find(group->Config.Name) != group)
     return;
   failover::Actions actions;
--- a/src/daemon/failover_driver.h
+++ b/src/daemon/failover_driver.h
@@ -1,6 +1,6 @@
 /// \file
-/// Runs the change of primary for each group in which this daemon owns a
-/// target: probes, asks the other owners, and performs the actions.
+/// Runs the failover state machine of each group in which this daemon owns a
+/// target: probes targets, queries the other owners, performs the actions.
 
 #ifndef PERIDOTFALL_DAEMON_FAILOVER_DRIVER_H
 #define PERIDOTFALL_DAEMON_FAILOVER_DRIVER_H
@@ -35,8 +35,9 @@
   /// \param onTick called with each tick, on the loop.
   void start(std::function<void()> onTick);
   void stop();
-  /// Answers another owner, from any thread. \return the body, or nothing
-  /// where this daemon does not watch the group.
+  /// Answers another owner's query for a group view. Thread-safe.
+  /// \return the response body, or nothing if this daemon owns no target of the
+  /// group.
   std::optional<std::string> answerView(const std::string &body) const;
 
 private:
@@ -47,21 +48,21 @@
     std::mutex Lock;
     failover::GroupState State;
     const DatabaseConfig Config;
-    std::map<TargetName, unsigned> Missed; ///< Probes in a row.
+    std::map<TargetName, unsigned> MissedProbes; ///< In a row.
   };
   using GroupPtr = std::shared_ptr<Group>;
   using Step = std::function<failover::Actions(failover::GroupState &)>;
 
   void tick();
   void refreshGroups();
-  /// \return the group, made anew where its configuration has changed.
+  /// \return the existing group, or a new one if its configuration has changed.
   GroupPtr makeGroup(const DatabaseConfig &database,
                      const std::vector<failover::OwnedTarget> &owners) const;
   std::optional<std::vector<failover::OwnedTarget>>
   ownersOf(const Configuration &config, const DatabaseConfig &database) const;
   GroupPtr find(const DatabaseName &database) const;
-  /// Runs a step of the machine under the group's lock, and performs what
-  /// comes out of it after.
+  /// Runs a step of the state machine under the group's lock, then performs the
+  /// resulting actions without it.
   void run(const GroupPtr &group, const Step &step);
 
   void perform(const GroupPtr &group, const failover::Probe &it);
@@ -77,12 +78,12 @@
   void perform(const GroupPtr &group, const failover::CampaignFailed &it);
   void perform(const GroupPtr &group, const failover::TermsExhausted &it);
   void perform(const GroupPtr &group, const failover::HandoverFailed &it);
-  void took(const GroupPtr &group, const TargetName &target,
-            const Result<target::Status> &status);
-  /// Closes the connections of targets that missed so many probes and do not
-  /// lead.
-  void disconnectLost(const GroupPtr &group, unsigned missed);
-  void readObject(const GroupPtr &group, const Result<platform::Object> &it);
+  void publishStatus(const GroupPtr &group, const TargetName &target,
+                     const Result<target::Status> &status);
+  /// Closes the connections of targets, other than the primary, that missed at
+  /// least this many probes in a row.
+  void disconnectUnreachable(const GroupPtr &group, unsigned missed);
+  void handleObject(const GroupPtr &group, const Result<platform::Object> &it);
 
   asio::steady_timer Timer;
   const Clock &Time;
@@ -94,8 +95,9 @@
   const failover::Timings Limits;
   std::function<void()> OnTick;
 
-  std::uint64_t Revision = 0;  ///< That the groups were made from.
-  std::vector<Member> Members; ///< The same.
+  /// The configuration and the members from which Groups was built.
+  std::uint64_t Revision = 0;
+  std::vector<Member> Members;
   mutable std::mutex Lock;
   std::map<DatabaseName, GroupPtr> Groups;
 };
--- a/src/daemon/owner.cpp
+++ b/src/daemon/owner.cpp
@@ -8,8 +8,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds RetryAfterUnavailable{500};
-constexpr std::chrono::milliseconds RetryAfterHeld{100};
-
+constexpr std::chrono::milliseconds RetryAfterHandover{100};
 constexpr std::chrono::milliseconds RetryAfterBusy{100};
 
 } // namespace
@@ -18,7 +17,7 @@
              const ConfigurationInForce &config, Targets &targets,
              GroupViews &views)
     : Time(clock), Self(std::move(self)), Config(config), Apis(targets),
-      Views(views), Confirms(clock, targets) {}
+      Views(views), Confirmations(clock, targets) {}
 
 Owner::Shard &Owner::shardOf(const TargetName &target) {
   return Shards[std::hash<TargetName>{}(target) % Shards.size()];
@@ -39,7 +38,8 @@
                                                                Time.now());
 }
 
-void Owner::execute(StatementRequest request, GoneFlag gone, OnAnswer done) {
+void Owner::execute(StatementRequest request, CallerGoneFlag gone,
+                    OnAnswer done) {
   auto config = Config.get();
   const auto *database =
       config ? findDatabase(*config, request.Database) : nullptr;
@@ -52,12 +52,14 @@
   }
   bool opens = request.Transaction.empty() && request.Mode == Access::Write;
   if (opens && Views.writesHeld(request.Database, Time.now())) {
-    done(notRun(request, AnswerCode::NotPrimary, "the primary is handing over",
-                RetryAfterHeld));
+    done(notRun(request, AnswerCode::NotPrimary,
+                "a planned handover of the primary is in progress",
+                RetryAfterHandover));
     return;
   }
   ++Running;
-  // Weak: the work stands in the owner's own queue, and would keep it alive.
+  // A weak pointer, since the owner's own queue holds this callback and would
+  // keep the owner alive.
   auto counted = [weak = weak_from_this(),
                   done = std::move(done)](StatementAnswer it) {
     if (auto self = weak.lock())
@@ -80,16 +82,16 @@
   if (!pool.Api)
     pool.Api = Apis.get(target.Address);
   if (!pool.Queue || pool.Target.Slots != target.Slots) {
-    // A new number of slots comes into force once the queue is empty.
+    // A changed number of slots is applied once the queue is empty.
     std::hash<std::string> hash;
     if (!pool.Queue || pool.Queue->queued() + pool.Queue->running() == 0)
       pool.Queue.emplace(target.Slots,
                          hash(target.Name.Value) ^ hash(Self.Value));
   }
   pool.Target = target;
-  // Half: while views of membership differ, an old and a new owner both
-  // hold connections, and together they must stay within the target's.
-  pool.Most = std::max(target.Connections / 2, 1U);
+  // Half of the target's connections: while views of membership differ, an old
+  // and a new owner both hold some, and their sum must stay within the limit.
+  pool.MaxConnections = std::max(target.Connections / 2, 1U);
   return pool;
 }
 
@@ -106,7 +108,7 @@
   perform(target.Name, std::move(actions));
 }
 
-/// Takes the work into the queue. \return its refusal otherwise.
+/// Queues the work. \return the answer if it is refused instead.
 std::optional<StatementAnswer> Owner::admit(OwnerPool &pool, OwnedWork &work,
                                             Actions &actions) {
   const auto &request = work.Request;
@@ -117,44 +119,46 @@
                     "the transaction has ended or was lost");
     if (open->second.Busy)
       return notRun(request, AnswerCode::Busy,
-                    "another statement of the transaction runs",
+                    "another statement of the transaction is running",
                     RetryAfterBusy);
   }
   bool begins = !work.inTransaction() && request.What == Verb::Begin;
-  if (begins &&
-      pool.Transactions.size() + pool.Beginning >= mostTransactions(pool))
+  if (begins && pool.Transactions.size() + pool.OpeningTransactions >=
+                    maxOpenTransactions(pool))
     return notRun(request, AnswerCode::Overloaded,
-                  "as many transactions are open as the target allows",
+                  "the target's limit of open transactions is reached",
                   limits::IdleTransaction);
   auto offer = pool.Queue->offer(workItemOf(work, pool), Time.now());
   for (const auto &it : offer.Others) {
-    auto other = pool.Waiting.extract(it.Ticket);
-    releaseWaiting(pool, other.mapped());
+    auto other = pool.Queued.extract(it.Ticket);
+    undoAdmission(pool, other.mapped());
     auto answer = notRun(other.mapped().Request, it.Why.Code,
-                         "refused for work of others", it.Why.RetryAfter);
+                         "removed from the queue in favour of other work",
+                         it.Why.RetryAfter);
     actions.Answers.emplace_back(std::move(other.mapped()), std::move(answer));
   }
   if (!offer.Ticket.valid())
     return notRun(request, offer.Why.Code,
                   offer.Why.Code == AnswerCode::DeadlinePassed
                       ? "deadline passed"
-                      : "the target is busy beyond the deadline",
+                      : "the queue of the target is longer than the deadline",
                   offer.Why.RetryAfter);
   if (work.inTransaction()) {
     open->second.Busy = true;
     work.Connection = open->second.Connection;
-    // Failure: the target was fenced, dropped the transaction, and leads again
-    // in a higher term. Symptom: a later statement of the transaction runs and
-    // commits alone. With the term of its beginning it is refused.
+    // A target that was fenced drops its transactions, and may become primary
+    // again in a higher term. A later statement of the transaction would then
+    // run and commit on its own. The term in which the transaction began makes
+    // the target refuse it.
     work.Request.InTerm = open->second.InTerm;
   }
-  pool.Beginning += begins ? 1 : 0;
+  pool.OpeningTransactions += begins ? 1 : 0;
   work.Ticket = offer.Ticket;
-  pool.Waiting.emplace(offer.Ticket, std::move(work));
+  pool.Queued.emplace(offer.Ticket, std::move(work));
   return std::nullopt;
 }
 
-void Owner::pump(const TargetName &target) {
+void Owner::dispatch(const TargetName &target) {
   Actions actions;
   {
     auto &shard = shardOf(target);
@@ -167,34 +171,37 @@
 void Owner::plan(OwnerPool &pool, Actions &actions) {
   auto now = Time.now();
   for (const auto &it : pool.Queue->expire(now)) {
-    auto late = pool.Waiting.extract(it.Ticket);
-    releaseWaiting(pool, late.mapped());
-    auto answer = notRun(late.mapped().Request, it.Why.Code,
-                         "could not be answered in time", it.Why.RetryAfter);
+    auto late = pool.Queued.extract(it.Ticket);
+    undoAdmission(pool, late.mapped());
+    auto answer =
+        notRun(late.mapped().Request, it.Why.Code,
+               "cannot be answered before its deadline", it.Why.RetryAfter);
     actions.Answers.emplace_back(std::move(late.mapped()), std::move(answer));
   }
   while (auto ticket = pool.Queue->next(now)) {
-    auto work = std::move(pool.Waiting.extract(*ticket).mapped());
+    auto work = std::move(pool.Queued.extract(*ticket).mapped());
     if (work.Gone->load()) {
       pool.Queue->finish(*ticket);
-      releaseWaiting(pool, work);
+      undoAdmission(pool, work);
       auto answer = notRun(work.Request, AnswerCode::DeadlinePassed,
-                           "the caller has gone");
+                           "the caller no longer waits");
       actions.Answers.emplace_back(std::move(work), std::move(answer));
     } else if (work.Connection)
       actions.Start.push_back(std::move(work));
     else
-      pool.Started.push_back(std::move(work));
+      pool.AwaitingConnection.push_back(std::move(work));
   }
-  while (!pool.Started.empty() && !pool.Idle.empty()) {
-    pool.Started.front().Connection = std::move(pool.Idle.back());
-    pool.Idle.pop_back();
-    actions.Start.push_back(std::move(pool.Started.front()));
-    pool.Started.pop_front();
+  while (!pool.AwaitingConnection.empty() && !pool.IdleConnections.empty()) {
+    pool.AwaitingConnection.front().Connection =
+        std::move(pool.IdleConnections.back());
+    pool.IdleConnections.pop_back();
+    actions.Start.push_back(std::move(pool.AwaitingConnection.front()));
+    pool.AwaitingConnection.pop_front();
   }
-  if (pool.Started.size() > pool.Opening && pool.Held < pool.Most) {
-    ++pool.Held;
-    ++pool.Opening;
+  if (pool.AwaitingConnection.size() > pool.OpeningConnections &&
+      pool.ConnectionCount < pool.MaxConnections) {
+    ++pool.ConnectionCount;
+    ++pool.OpeningConnections;
     actions.Connect = pool.Api;
   }
 }
@@ -213,26 +220,27 @@
 void Owner::connect(const TargetName &target, const TargetPtr &api) {
   api->Connect([self = shared_from_this(),
                 target](const Result<target::ConnectionPtr> &it) {
-    self->connected(target, it);
+    self->handleConnection(target, it);
   });
 }
 
-void Owner::connected(const TargetName &target,
-                      const Result<target::ConnectionPtr> &result) {
+void Owner::handleConnection(const TargetName &target,
+                             const Result<target::ConnectionPtr> &result) {
   Actions actions;
   {
     auto &shard = shardOf(target);
     std::lock_guard guard(shard.Lock);
     auto &pool = shard.Pools[target];
-    --pool.Opening;
+    --pool.OpeningConnections;
     if (result)
-      pool.Idle.push_back(result.value());
+      pool.IdleConnections.push_back(result.value());
     else {
-      --pool.Held;
-      // With no open connection nothing would take from the queue. Those being
-      // opened do not count: to a dead target two would fail in turn, each
-      // while the other is tried again, and the queue would wait for ever.
-      if (pool.Held == pool.Opening)
+      --pool.ConnectionCount;
+      // Without an open connection nothing takes work from the queue.
+      // Connections being opened don't count: on a failed target two attempts
+      // could alternate, each failing while the other is in progress, and the
+      // queue would never be refused.
+      if (pool.ConnectionCount == pool.OpeningConnections)
         refuseAll(pool, result.error().Message, actions);
     }
     plan(pool, actions);
@@ -240,21 +248,21 @@
   perform(target, std::move(actions));
 }
 
-/// Refuses what has no connection yet, started or not.
+/// Refuses all work without a connection, whether or not it has a slot.
 void Owner::refuseAll(OwnerPool &pool, const std::string &why,
                       Actions &actions) {
   auto refuse = [&](OwnedWork work) {
-    releaseWaiting(pool, work);
+    undoAdmission(pool, work);
     auto answer = notRun(work.Request, AnswerCode::Unavailable, why,
                          RetryAfterUnavailable);
     actions.Answers.emplace_back(std::move(work), std::move(answer));
   };
-  for (auto &it : std::exchange(pool.Started, {})) {
+  for (auto &it : std::exchange(pool.AwaitingConnection, {})) {
     pool.Queue->finish(it.Ticket);
     refuse(std::move(it));
   }
   pool.Queue->clear(Time.now());
-  for (auto &[ticket, it] : std::exchange(pool.Waiting, {}))
+  for (auto &[ticket, it] : std::exchange(pool.Queued, {}))
     refuse(std::move(it));
 }
 
@@ -272,7 +280,7 @@
 }
 
 void Owner::finish(const OwnedWork &work, StatementAnswer answer) {
-  auto opened = settle(work, answer);
+  auto opened = recordCompletion(work, answer);
   if (!opened.empty())
     answer.Transaction = opened;
   answer.ServedBy = work.Request.Target;
@@ -289,8 +297,8 @@
     work.Done(std::move(answer));
 }
 
-std::string Owner::settle(const OwnedWork &work,
-                          const StatementAnswer &answer) {
+std::string Owner::recordCompletion(const OwnedWork &work,
+                                    const StatementAnswer &answer) {
   const auto &request = work.Request;
   bool begins = !work.inTransaction() && request.What == Verb::Begin;
   bool usable = leavesConnectionUsable(answer);
@@ -307,7 +315,7 @@
     if (answer.Effect == Outcome::Done)
       pool.Estimates.observe(workKey(request), now - work.StartedAt);
     if (begins) {
-      --pool.Beginning;
+      --pool.OpeningTransactions;
       if (answer.Code == AnswerCode::Ok) {
         opened = makeTransactionHandle({Self, request.Target});
         auto term = request.InTerm != 0 ? request.InTerm : answer.At.InTerm;
@@ -324,28 +332,28 @@
         pool.Transactions.erase(open);
     }
     if (giveBack && usable && work.Connection->IsOpen())
-      pool.Idle.push_back(work.Connection);
+      pool.IdleConnections.push_back(work.Connection);
     else if (giveBack)
-      --pool.Held;
+      --pool.ConnectionCount;
   }
-  pump(request.Target);
+  dispatch(request.Target);
   return opened;
 }
 
-/// Failure: an old primary comes back with writes that no other target has,
-/// and is read as a replica. Symptom: a session sees a write that is gone with
-/// its next read. A target's last record is of the present term once it
-/// follows the present primary, and then it has dropped such a tail.
-bool Owner::isOfOldTerm(const OwnedWork &work,
-                        const StatementAnswer &answer) const {
+/// A former primary may return with writes that no other target has, and be
+/// read as a replica: a session would see a write that is missing from its next
+/// read. Once a target follows the current primary, it has dropped such writes
+/// and its last record is of the current term.
+bool Owner::isFromOlderTerm(const OwnedWork &work,
+                            const StatementAnswer &answer) const {
   return work.Request.Mode != Access::Write && !work.inTransaction() &&
          answer.Effect == Outcome::Done &&
          answer.At.InTerm < Views.get(work.Request.Database).InTerm;
 }
 
-/// Failure: this owner's view of who leads is older or newer than the entry's.
-/// Symptom: a read that only the primary may answer is given by a replaced
-/// one. So the request says it, too, and not the owner's view alone.
+/// This owner's view of which target is primary may be older or newer than the
+/// entry daemon's. By the owner's view alone, a replaced primary could answer a
+/// read that only the primary may answer; so the request carries the flag, too.
 bool Owner::needsConfirmation(const OwnedWork &work,
                               const StatementAnswer &answer) const {
   const auto &request = work.Request;
@@ -356,7 +364,7 @@
 }
 
 void Owner::confirm(const OwnedWork &work, StatementAnswer answer) {
-  if (isOfOldTerm(work, answer)) {
+  if (isFromOlderTerm(work, answer)) {
     auto behind = notRun(work.Request, AnswerCode::Behind,
                          "the target's last record is of an older term");
     behind.At = answer.At;
@@ -371,7 +379,7 @@
   }
   auto limit = std::min(work.Database.ConfirmLimit, timeLeft(work.Deadline));
   auto at = answer.At;
-  Confirms.confirmPosition(
+  Confirmations.confirmPosition(
       work.Database, work.Request.Target, at,
       std::max(limit, std::chrono::milliseconds(1)),
       [work, answer = std::move(answer)](bool confirmed) {
@@ -379,8 +387,8 @@
           work.Done(answer);
         else if (work.Request.Mode == Access::Write)
           work.Done(unknownOutcome(work.Request, AnswerCode::NotConfirmed,
-                                   "committed on the primary, and on no "
-                                   "replica within the limit"));
+                                   "committed on the primary, but not "
+                                   "confirmed by a replica in time"));
         else
           work.Done(notRun(work.Request, AnswerCode::NotConfirmed,
                            "the primary's answer could not be confirmed",
--- a/src/daemon/owner.h
+++ b/src/daemon/owner.h
@@ -1,6 +1,6 @@
 /// \file
-/// The owner of targets: holds their scarce connections, decides what runs
-/// on them, and confirms writes before they are answered.
+/// The owner of targets: holds their limited connections, schedules requests
+/// on them, and confirms writes before it answers them.
 
 #ifndef PERIDOTFALL_DAEMON_OWNER_H
 #define PERIDOTFALL_DAEMON_OWNER_H
@@ -32,17 +32,19 @@
   Owner(const Clock &clock, VmName self, const ConfigurationInForce &config,
         Targets &targets, GroupViews &views);
 
-  /// Runs a request on the target it names. \param gone set when nobody waits
-  /// for the answer any more. \param done called once, on any thread.
-  void execute(StatementRequest request, GoneFlag gone, OnAnswer done);
-  /// Requests admitted and not yet answered, and open transactions.
+  /// Runs a request on its target.
+  /// \param gone set when the caller no longer waits for the answer.
+  /// \param done called once, on any thread.
+  void execute(StatementRequest request, CallerGoneFlag gone, OnAnswer done);
+  /// Requests not yet answered, plus open transactions.
   std::size_t inFlight() const;
-  /// Gives up confirmations that are past their limit; to be called often.
-  void giveUpLate() { Confirms.giveUpLate(); }
+  /// Answers confirmations whose time limit has passed; called with each tick
+  /// of the failover driver.
+  void giveUpLate() { Confirmations.expire(); }
 
-  /// Drops what nobody waits for or what came too late, rolls back idle
-  /// transactions, and gives up targets that are not this daemon's any more.
-  /// To be called every few hundred ms.
+  /// Drops requests that expired or whose caller has gone, rolls back idle
+  /// transactions, and releases targets that this daemon no longer owns.
+  /// Must be called every few hundred ms.
   /// \param owns whether this daemon is rank 0 for the target.
   void tend(const std::function<bool(const TargetConfig &)> &owns);
 
@@ -51,7 +53,7 @@
     mutable std::mutex Lock;
     std::map<TargetName, OwnerPool> Pools;
   };
-  /// Answers and calls on targets, made once the lock is released.
+  /// Answers and target calls to perform after the lock is released.
   struct Actions {
     std::vector<std::pair<OwnedWork, StatementAnswer>> Answers;
     std::vector<OwnedWork> Start; ///< Each with its connection.
@@ -65,47 +67,51 @@
   std::optional<StatementAnswer> admit(OwnerPool &pool, OwnedWork &work,
                                        Actions &actions);
   OwnerPool &poolOf(Shard &shard, const TargetConfig &target);
-  /// Starts what can start.
-  void pump(const TargetName &target);
+  /// Starts queued work as far as slots and connections allow.
+  void dispatch(const TargetName &target);
   void plan(OwnerPool &pool, Actions &actions);
   void perform(const TargetName &target, Actions actions);
   void connect(const TargetName &target, const TargetPtr &api);
-  void connected(const TargetName &target,
-                 const Result<target::ConnectionPtr> &result);
+  void handleConnection(const TargetName &target,
+                        const Result<target::ConnectionPtr> &result);
   void run(OwnedWork work);
   void finish(const OwnedWork &work, StatementAnswer answer);
-  /// Settles the connection and the slot. \return the answer's transaction.
-  std::string settle(const OwnedWork &work, const StatementAnswer &answer);
-  bool isOfOldTerm(const OwnedWork &work, const StatementAnswer &answer) const;
+  /// Releases the slot, and the connection unless a transaction keeps it.
+  /// \return the handle of the transaction that the request opened, or empty.
+  std::string recordCompletion(const OwnedWork &work,
+                               const StatementAnswer &answer);
+  bool isFromOlderTerm(const OwnedWork &work,
+                       const StatementAnswer &answer) const;
   bool needsConfirmation(const OwnedWork &work,
                          const StatementAnswer &answer) const;
   void confirm(const OwnedWork &work, StatementAnswer answer);
-  void handOver(OwnerPool &pool, Actions &actions);
-  void rollBackIdle(OwnerPool &pool, Actions &actions);
-  void dropGone(OwnerPool &pool, Actions &actions);
+  void rejectQueued(OwnerPool &pool, Actions &actions);
+  void rollBackIdleTransactions(OwnerPool &pool, Actions &actions);
+  void dropAbandoned(OwnerPool &pool, Actions &actions);
   void refuseAll(OwnerPool &pool, const std::string &why, Actions &actions);
-  void releaseWaiting(OwnerPool &pool, const OwnedWork &work);
+  void undoAdmission(OwnerPool &pool, const OwnedWork &work);
 
   const Clock &Time;
   const VmName Self;
   const ConfigurationInForce &Config;
   Targets &Apis;
   GroupViews &Views;
-  Confirmer Confirms;
+  Confirmer Confirmations;
   std::array<Shard, limits::OwnerShards> Shards;
   std::atomic<std::size_t> Running{0};
 };
 
-/// Where a transaction lives, as its handle tells any entry daemon.
-struct TransactionPlace {
+/// The owner daemon and the target of a transaction, encoded in its handle so
+/// that any entry daemon can route its statements.
+struct TransactionLocation {
   VmName Vm;
   TargetName Target;
 
-  auto operator<=>(const TransactionPlace &) const = default;
+  auto operator<=>(const TransactionLocation &) const = default;
 };
 
-std::string makeTransactionHandle(const TransactionPlace &place);
-std::optional<TransactionPlace>
+std::string makeTransactionHandle(const TransactionLocation &location);
+std::optional<TransactionLocation>
 parseTransactionHandle(const std::string &handle);
 
 } // namespace peridotfall
--- a/src/daemon/owner_pool.cpp
+++ b/src/daemon/owner_pool.cpp
@@ -17,8 +17,10 @@
 
 } // namespace
 
-std::uint32_t mostTransactions(const OwnerPool &pool) {
-  return pool.Most > pool.Target.Slots ? pool.Most - pool.Target.Slots : 1;
+std::uint32_t maxOpenTransactions(const OwnerPool &pool) {
+  return pool.MaxConnections > pool.Target.Slots
+             ? pool.MaxConnections - pool.Target.Slots
+             : 1;
 }
 
 WorkItem workItemOf(const OwnedWork &work, const OwnerPool &pool) {
--- a/src/daemon/owner_pool.h
+++ b/src/daemon/owner_pool.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an owner holds for one target: its queue, its connections and the
+/// An owner's state for one target: its queue, its connections and the
 /// transactions open on them.
 
 #ifndef PERIDOTFALL_DAEMON_OWNER_POOL_H
@@ -22,17 +22,19 @@
 namespace peridotfall {
 
 using OnAnswer = std::function<void(StatementAnswer)>;
-using GoneFlag = std::shared_ptr<std::atomic<bool>>;
+/// Set when the caller no longer waits for its answer.
+using CallerGoneFlag = std::shared_ptr<std::atomic<bool>>;
 
-/// A request at its owner.
+/// A request in progress at the owner of its target.
 struct OwnedWork {
   StatementRequest Request;
-  GoneFlag Gone;
+  CallerGoneFlag Gone;
   OnAnswer Done;
   TimePoint Deadline;
   DatabaseConfig Database;
   TicketHandle Ticket;
-  /// Given when it starts; a statement of a transaction has it from before.
+  /// Assigned when the work starts; a statement of a transaction gets the
+  /// transaction's connection when it is queued.
   target::ConnectionPtr Connection;
   TimePoint StartedAt;
 
@@ -41,7 +43,7 @@
 
 struct OpenTransaction {
   target::ConnectionPtr Connection;
-  Term InTerm = 0; ///< In which it began.
+  Term InTerm = 0; ///< Term in which it began.
   bool Busy = false;
   TimePoint IdleSince;
 };
@@ -49,30 +51,30 @@
 struct OwnerPool {
   TargetConfig Target;
   TargetPtr Api;
-  std::uint32_t Most = 0; ///< Connections we may hold.
-  std::uint32_t Held = 0; ///< Open or being opened.
-  std::uint32_t Opening = 0;
-  std::uint32_t Beginning = 0; ///< Transactions being opened.
-  bool Owned = true;           ///< As last heard.
+  std::uint32_t MaxConnections = 0;  ///< Limit for this daemon.
+  std::uint32_t ConnectionCount = 0; ///< Open or being opened.
+  std::uint32_t OpeningConnections = 0;
+  std::uint32_t OpeningTransactions = 0;
+  bool Owned = true; ///< Result of the last ownership check.
   std::optional<Admission> Queue;
   WorkEstimator Estimates;
-  std::map<TicketHandle, OwnedWork> Waiting;
-  std::deque<OwnedWork> Started; ///< With a slot, and no connection yet.
-  std::vector<target::ConnectionPtr> Idle;
+  std::map<TicketHandle, OwnedWork> Queued;
+  std::deque<OwnedWork> AwaitingConnection; ///< Work that has a slot.
+  std::vector<target::ConnectionPtr> IdleConnections;
   std::map<std::string, OpenTransaction> Transactions;
 };
 
-/// Transactions that may be open at once. Load: callers that think between
-/// statements. Harm: all connections idle in transactions, and nothing else
-/// runs. Reason: a connection for each slot stays.
-std::uint32_t mostTransactions(const OwnerPool &pool);
+/// The number of transactions that may be open at once. One connection for each
+/// slot stays free of transactions: otherwise callers that pause between their
+/// statements could occupy all connections, and nothing else would run.
+std::uint32_t maxOpenTransactions(const OwnerPool &pool);
 
-/// What admission is to know of a request.
+/// Describes the request for admission.
 WorkItem workItemOf(const OwnedWork &work, const OwnerPool &pool);
 
-/// \return whether the connection may carry another caller's statement. One
-/// whose last answer was lost may still carry it, or hold an open transaction:
-/// handed on, it would give one caller another's rows.
+/// \return whether the connection may be reused for another caller's statement.
+/// If the last answer was lost, it may still arrive, or a transaction may be
+/// open: a reused connection could return one caller's rows to another.
 bool leavesConnectionUsable(const StatementAnswer &answer);
 
 /// \return whether the answer ends the transaction of its request.
--- a/src/daemon/read_placer.cpp
+++ b/src/daemon/read_placer.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A probe's answer older than this says nothing of the target any more.
-constexpr std::chrono::milliseconds StatusValid{2'000};
+/// Older probe results are ignored.
+constexpr std::chrono::milliseconds MaxStatusAge{2'000};
 
 void addStatus(Candidate &it, const TargetView &view, TimePoint now) {
   auto since = now - view.SeenAt;
-  if (since > StatusValid)
+  if (since > MaxStatusAge)
     return;
   it.Reachable = view.Reachable;
   it.Leaving |= view.Last.Leaving;
@@ -22,13 +22,13 @@
 } // namespace
 
 ReadPlacer::Shard &ReadPlacer::shardOf(const DatabaseName &database) {
-  return Shards[std::hash<DatabaseName>{}(database) % Count];
+  return Shards[std::hash<DatabaseName>{}(database) % ShardCount];
 }
 
-ReadPlacer::Entry &ReadPlacer::entryOf(Shard &shard,
-                                       const DatabaseName &database) {
+ReadPlacer::DatabaseState &ReadPlacer::stateOf(Shard &shard,
+                                               const DatabaseName &database) {
   std::hash<std::string> hash;
-  return shard.Entries
+  return shard.States
       .try_emplace(database, hash(database.Value) ^ hash(Self.Vm.Value))
       .first->second;
 }
@@ -41,7 +41,7 @@
                                                         : Distance::OtherRegion;
 }
 
-bool ReadPlacer::linkOpen() const {
+bool ReadPlacer::linkHasBudget() const {
   std::lock_guard guard(LinkLock);
   return Link.mayUse(Time.now());
 }
@@ -74,10 +74,10 @@
       addStatus(candidate, known->second, now);
     candidates.push_back(std::move(candidate));
   }
-  bool open = linkOpen();
+  bool open = linkHasBudget();
   auto &shard = shardOf(database.Name);
   std::lock_guard guard(shard.Lock);
-  return entryOf(shard, database.Name)
+  return stateOf(shard, database.Name)
       .Reads.choose(demand, candidates, open, now);
 }
 
@@ -85,7 +85,7 @@
                          const TargetName &target) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
-  entryOf(shard, database).Reads.started(target);
+  stateOf(shard, database).Reads.started(target);
 }
 
 void ReadPlacer::answered(const Configuration &config,
@@ -103,14 +103,15 @@
   it.Mode = request.Mode;
   if (answer.Age > Duration{})
     it.Age = answer.Age;
-  // Answers do not tell the owner's queue apart from the run, so the whole
-  // counts as a wait: it fades, and a target that was slow is asked again.
+  // Answers don't separate the time in the owner's queue from the run time, so
+  // the whole counts as a wait: waits fade, so a target that was slow is used
+  // again.
   const auto *target = findTarget(database, request.Target);
   if (target && answer.Code == AnswerCode::Ok)
     it.Wait = std::max(took - wayOf(distanceTo(config, *target)), Duration{});
   auto &shard = shardOf(database.Name);
   std::lock_guard guard(shard.Lock);
-  auto &reads = entryOf(shard, database.Name).Reads;
+  auto &reads = stateOf(shard, database.Name).Reads;
   auto replicas = database.Targets.size() - 1;
   reads.answered(it, replicas, Time.now());
   if (request.Mode == Access::Write && answer.Code == AnswerCode::Ok)
@@ -120,13 +121,13 @@
 void ReadPlacer::earnRetries(const DatabaseName &database) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
-  entryOf(shard, database).Retries.earn(Time.now());
+  stateOf(shard, database).Retries.earn(Time.now());
 }
 
 bool ReadPlacer::spendRetry(const DatabaseName &database) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
-  return entryOf(shard, database).Retries.spend(Time.now());
+  return stateOf(shard, database).Retries.spend(Time.now());
 }
 
 } // namespace peridotfall
--- a/src/daemon/read_placer.h
+++ b/src/daemon/read_placer.h
@@ -1,6 +1,6 @@
 /// \file
-/// What one entry daemon has learned of each database, and what it decides by
-/// it: where reads go, and whether a request may be sent again.
+/// Per-database state of an entry daemon for placing reads and for limiting
+/// retries.
 
 #ifndef PERIDOTFALL_DAEMON_READ_PLACER_H
 #define PERIDOTFALL_DAEMON_READ_PLACER_H
@@ -19,7 +19,7 @@
 
 namespace peridotfall {
 
-/// Shards, each under its lock.
+/// Thread-safe: databases are spread over shards, each with its own lock.
 class ReadPlacer {
 public:
   ReadPlacer(const Clock &clock, Member self)
@@ -28,39 +28,40 @@
   Choice choose(const Configuration &config, const DatabaseConfig &database,
                 const GroupView &view, const ReadDemand &demand);
   void started(const DatabaseName &database, const TargetName &target);
-  /// \param took from sending to the answer.
+  /// \param took time from sending the request to its answer.
   void answered(const Configuration &config, const DatabaseConfig &database,
                 const StatementRequest &request, const StatementAnswer &answer,
                 Duration took);
-  /// Counts a first attempt.
+  /// Counts a first attempt, which earns a share of a retry.
   void earnRetries(const DatabaseName &database);
-  /// \return whether the database's budget allows one more attempt.
+  /// Takes one retry from the database's budget. \return whether it had one.
   bool spendRetry(const DatabaseName &database);
-  /// Counts bytes of a call to another daemon, if it is over the link.
+  /// Counts bytes of a call to a daemon of the given region; only the link to
+  /// other regions has a budget.
   void countBytes(const RegionName &region, std::size_t bytes);
   std::uint64_t linkBytes() const;
 
 private:
-  struct Entry {
-    explicit Entry(std::uint64_t seed) : Reads(seed) {}
+  struct DatabaseState {
+    explicit DatabaseState(std::uint64_t seed) : Reads(seed) {}
     Placement Reads;
     RetryBudget Retries;
   };
   struct Shard {
     std::mutex Lock;
-    std::map<DatabaseName, Entry> Entries;
+    std::map<DatabaseName, DatabaseState> States;
   };
-  static constexpr std::size_t Count = 16;
+  static constexpr std::size_t ShardCount = 16;
 
   Shard &shardOf(const DatabaseName &database);
-  Entry &entryOf(Shard &shard, const DatabaseName &database);
+  DatabaseState &stateOf(Shard &shard, const DatabaseName &database);
   Distance distanceTo(const Configuration &config,
                       const TargetConfig &target) const;
-  bool linkOpen() const;
+  bool linkHasBudget() const;
 
   const Clock &Time;
   const Member Self;
-  std::array<Shard, Count> Shards;
+  std::array<Shard, ShardCount> Shards;
   mutable std::mutex LinkLock;
   LinkBudget Link;
 };
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -15,21 +15,20 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/// Pauses before a request that was not run is sent again, from the first to
-/// the longest. Load: all requests of a group whose primary failed. Harm: the
-/// target being promoted is drowned by attempts. Reason: doubled pauses send
-/// about ten attempts in a failover of 2 s, and the longest is short against
-/// it.
-constexpr milliseconds FirstPause{25};
-constexpr milliseconds LongestPause{200};
+/// Pause before a retry, doubled from the first value to the second. When a
+/// primary fails, all requests of its group are retried, and must not overload
+/// the target being promoted: doubled pauses make about ten attempts in a
+/// failover of 2 s, and the longest pause is short compared with it.
+constexpr milliseconds MinRetryPause{25};
+constexpr milliseconds MaxRetryPause{200};
 constexpr milliseconds RetryAfterFailure{1'000};
 
-/// \return whether another attempt may run the request a second time.
-bool mayRepeat(const StatementRequest &it) {
+/// \return whether the request may be run again after a possible first run.
+bool isSafeToRepeat(const StatementRequest &it) {
   return it.Mode != Access::Write || it.Repeatable || !it.Key.empty();
 }
 
-bool worthRetrying(AnswerCode code) {
+bool isRetryable(AnswerCode code) {
   switch (code) {
   case AnswerCode::Behind:
   case AnswerCode::NotPrimary:
@@ -72,11 +71,11 @@
   OnAnswer Done;
   TimePoint Deadline;
   int Attempts = 0;
-  std::size_t OwnerRank = 0; ///< Owners that could not be reached.
-  std::size_t Misses = 0;    ///< Targets that were not the primary.
-  milliseconds Pause = FirstPause;
-  TargetName Avoid;            ///< Refused it for load.
-  bool PrimaryNext = false;    ///< A replica was behind: go to the primary.
+  std::size_t OwnerRank = 0;     ///< Owners found unreachable so far.
+  std::size_t PrimaryMisses = 0; ///< Attempts that reached no working primary.
+  milliseconds RetryPause = MinRetryPause;
+  TargetName AvoidTarget;      ///< Overloaded in an earlier attempt.
+  bool UsePrimary = false;     ///< Set after a replica was behind.
   bool OutcomeInDoubt = false; ///< An earlier attempt may have run.
 };
 
@@ -84,7 +83,8 @@
                const ConfigurationInForce &config, Fleet &fleet,
                GroupViews &views, Owner &owner)
     : Loops(loops), Time(clock), Config(config), Peers(fleet), Views(views),
-      Local(owner), Places(clock, fleet.self()), LastRequest(randomStart()) {}
+      LocalOwner(owner), Placer(clock, fleet.self()),
+      LastRequest(randomStart()) {}
 
 Duration Router::timeLeft(const Operation &op) const {
   return op.Deadline - Time.now();
@@ -101,7 +101,7 @@
   }
   auto config = Config.get();
   if (config && findDatabase(*config, op->In.Request.Database))
-    Places.earnRetries(op->In.Request.Database);
+    Placer.earnRetries(op->In.Request.Database);
   attempt(op);
 }
 
@@ -113,8 +113,8 @@
   const auto *database =
       config ? findDatabase(*config, request.Database) : nullptr;
   if (!database) {
-    end(op, notRun(request, AnswerCode::UnknownDatabase,
-                   "no such database: " + request.Database.Value));
+    finish(op, notRun(request, AnswerCode::UnknownDatabase,
+                      "no such database: " + request.Database.Value));
     return;
   }
   if (request.Mode == Access::FreshRead)
@@ -122,25 +122,25 @@
   auto view = Views.get(request.Database);
   ++op->Attempts;
   if (request.Mode == Access::Write) {
-    aimAtPrimary(*op, *database, view, request);
+    selectPrimary(*op, *database, view, request);
     send(op, std::move(request));
     return;
   }
   ReadDemand demand{request.Mode, request.NotBefore, request.MaxAge,
-                    op->PrimaryNext || (op->In.Session.primaryOnly() &&
-                                        request.Mode == Access::FreshRead),
-                    op->Avoid};
-  auto choice = Places.choose(*config, *database, view, demand);
+                    op->UsePrimary || (op->In.Session.primaryOnly() &&
+                                       request.Mode == Access::FreshRead),
+                    op->AvoidTarget};
+  auto choice = Placer.choose(*config, *database, view, demand);
   request.Target = choice.Target;
   if (choice.Target.empty())
-    aimAtPrimary(*op, *database, view, request);
+    selectPrimary(*op, *database, view, request);
   else if (choice.Target == view.Primary) {
     request.InTerm = view.InTerm;
     request.PrimaryOnly = true;
   }
   if (choice.WaitBefore > Duration{})
-    later(choice.WaitBefore, [self = shared_from_this(), op,
-                              request = std::move(request)]() mutable {
+    runAfter(choice.WaitBefore, [self = shared_from_this(), op,
+                                 request = std::move(request)]() mutable {
       request.Budget = self->timeLeft(*op);
       self->send(op, std::move(request));
     });
@@ -148,21 +148,21 @@
     send(op, std::move(request));
 }
 
-/// Failure: this daemon probes no target of the group, and the primary that it
-/// knows was replaced. Symptom: each attempt meets the old one until the
-/// deadline. Every second attempt after a miss tries the other targets, in any
-/// term; a replaced primary that takes the write cannot confirm it.
-void Router::aimAtPrimary(const Operation &op, const DatabaseConfig &database,
-                          const GroupView &view, StatementRequest &request) {
+/// A daemon that probes no target of the group may not know that the primary
+/// was replaced, and would send each attempt to the old one until the deadline.
+/// So every second attempt after a miss goes to the other targets, in any term;
+/// a replaced primary that accepts the write cannot confirm it.
+void Router::selectPrimary(const Operation &op, const DatabaseConfig &database,
+                           const GroupView &view, StatementRequest &request) {
   request.PrimaryOnly = request.Mode != Access::Write;
   bool known = findTarget(database, view.Primary) != nullptr;
-  if (known && op.Misses % 2 == 0) {
+  if (known && op.PrimaryMisses % 2 == 0) {
     request.Target = view.Primary;
     request.InTerm = view.InTerm;
     return;
   }
-  auto n =
-      (op.Misses + 1) / 2 + static_cast<std::size_t>(known ? 0 : op.Attempts);
+  auto n = (op.PrimaryMisses + 1) / 2 +
+           static_cast<std::size_t>(known ? 0 : op.Attempts);
   request.Target = database.Targets[n % database.Targets.size()].Name;
 }
 
@@ -172,20 +172,22 @@
   const auto *target =
       database ? findTarget(*database, request.Target) : nullptr;
   if (!target) {
-    answered(op, request,
-             notRun(request, AnswerCode::Unavailable, "target: removed"));
+    handleAnswer(op, request,
+                 notRun(request, AnswerCode::Unavailable,
+                        "target: no longer configured"));
     return;
   }
   auto owners = Peers.ranked(*config, *target);
   if (owners.empty()) {
-    answered(op, request,
-             notRun(request, AnswerCode::Unavailable, "no daemon is live"));
+    handleAnswer(op, request,
+                 notRun(request, AnswerCode::Unavailable,
+                        "no daemon is available to own the target"));
     return;
   }
-  Places.started(request.Database, request.Target);
-  // An owner that cannot be reached is passed over at the next attempt, until
-  // the membership knows of it; one that answers stays, since each further
-  // owner would open connections of its own.
+  Placer.started(request.Database, request.Target);
+  // The next attempt skips an owner that is unreachable but still counted as
+  // a member. An owner that answers is kept, since each further owner would
+  // open connections of its own.
   const auto &owner = owners[op->OwnerRank % owners.size()];
   if (owner.Vm == Peers.self().Vm)
     sendLocal(op, std::move(request));
@@ -196,17 +198,17 @@
 void Router::sendLocal(const OperationPtr &op, StatementRequest request) {
   auto sent = Time.now();
   auto copy = request;
-  Local.execute(std::move(copy), op->In.Gone,
-                [self = shared_from_this(), op, sent,
-                 request = std::move(request)](StatementAnswer it) {
-                  self->learn(request, it, self->Time.now() - sent);
-                  self->answered(op, request, std::move(it));
-                });
+  LocalOwner.execute(std::move(copy), op->In.Gone,
+                     [self = shared_from_this(), op, sent,
+                      request = std::move(request)](StatementAnswer it) {
+                       self->recordAnswer(request, it, self->Time.now() - sent);
+                       self->handleAnswer(op, request, std::move(it));
+                     });
 }
 
-/// Takes from an answer what placement and later requests go by.
-void Router::learn(const StatementRequest &request,
-                   const StatementAnswer &answer, Duration took) {
+/// Updates the placement of reads and the known primary from an answer.
+void Router::recordAnswer(const StatementRequest &request,
+                          const StatementAnswer &answer, Duration took) {
   auto config = Config.get();
   const auto *database = findDatabase(*config, request.Database);
   if (!database || !request.Transaction.empty())
@@ -214,7 +216,7 @@
   if (request.Mode == Access::Write && answer.Code == AnswerCode::Ok &&
       request.What == Verb::Statement)
     Views.learnPrimary(request.Database, answer.At.InTerm, request.Target);
-  Places.answered(*config, *database, request, answer, took);
+  Placer.answered(*config, *database, request, answer, took);
 }
 
 void Router::sendRemote(const OperationPtr &op, const Member &owner,
@@ -225,74 +227,76 @@
   call.Body = messages::encode(request);
   auto limit =
       std::max(duration_cast<milliseconds>(request.Budget), milliseconds(1));
-  Places.countBytes(owner.Region, call.Body.size());
+  Placer.countBytes(owner.Region, call.Body.size());
   auto sent = Time.now();
   Peers.channel(owner.InnerAddress)
       ->call(std::move(call), limit,
              [self = shared_from_this(), op, request, sent,
               region = owner.Region](const http::CallResult &result) {
                if (result)
-                 self->Places.countBytes(region, result.value().Body.size());
+                 self->Placer.countBytes(region, result.value().Body.size());
                else
                  ++op->OwnerRank;
                auto answer = readOwnerAnswer(request, result);
-               self->learn(request, answer, self->Time.now() - sent);
-               self->answered(op, request, std::move(answer));
+               self->recordAnswer(request, answer, self->Time.now() - sent);
+               self->handleAnswer(op, request, std::move(answer));
              });
 }
 
-/// \return whether the request goes on, after a pause or at once.
-bool Router::goOn(const OperationPtr &op, const StatementAnswer &answer) {
+bool Router::shouldRetry(const OperationPtr &op,
+                         const StatementAnswer &answer) {
   const auto &in = op->In.Request;
   bool safe = answer.Effect == Outcome::NotRun ||
-              (answer.Effect == Outcome::Unknown && mayRepeat(in));
-  // Shifted once to another target; a second refusal is the answer.
+              (answer.Effect == Outcome::Unknown && isSafeToRepeat(in));
+  // An overloaded read moves to another target once; a second refusal is
+  // returned to the caller.
   bool shifts = answer.Code == AnswerCode::Overloaded &&
-                in.Mode != Access::Write && op->Avoid.empty();
+                in.Mode != Access::Write && op->AvoidTarget.empty();
   if (!safe || !in.Transaction.empty() || op->In.Gone->load() ||
-      timeLeft(*op) <= 2 * op->Pause || !(worthRetrying(answer.Code) || shifts))
+      timeLeft(*op) <= 2 * op->RetryPause ||
+      !(isRetryable(answer.Code) || shifts))
     return false;
-  // A replica that was behind is asked once, and the primary then: no more
-  // load than a read placed there at once.
-  bool behind = answer.Code == AnswerCode::Behind && !op->PrimaryNext;
-  return behind || Places.spendRetry(in.Database);
+  // After the first replica that is behind, the read goes to the primary. It
+  // costs no retry budget: the primary's load is that of a read placed there.
+  bool behind = answer.Code == AnswerCode::Behind && !op->UsePrimary;
+  return behind || Placer.spendRetry(in.Database);
 }
 
-void Router::answered(const OperationPtr &op, const StatementRequest &sent,
-                      StatementAnswer answer) {
+void Router::handleAnswer(const OperationPtr &op, const StatementRequest &sent,
+                          StatementAnswer answer) {
   if (answer.Effect == Outcome::Unknown)
     op->OutcomeInDoubt = true;
   if (answer.Code == AnswerCode::NotPrimary ||
       answer.Code == AnswerCode::Fenced ||
       answer.Code == AnswerCode::NotConfirmed ||
       answer.Code == AnswerCode::Unavailable)
-    ++op->Misses;
-  if (!goOn(op, answer)) {
-    end(op, std::move(answer));
+    ++op->PrimaryMisses;
+  if (!shouldRetry(op, answer)) {
+    finish(op, std::move(answer));
     return;
   }
-  bool atOnce = answer.Code == AnswerCode::Behind && !op->PrimaryNext;
+  bool atOnce = answer.Code == AnswerCode::Behind && !op->UsePrimary;
   if (answer.Code == AnswerCode::Behind)
-    op->PrimaryNext = true;
+    op->UsePrimary = true;
   if (answer.Code == AnswerCode::Overloaded) {
-    op->Avoid = sent.Target;
+    op->AvoidTarget = sent.Target;
     atOnce = true;
   }
   if (atOnce) {
     attempt(op);
     return;
   }
-  auto pause = op->Pause;
-  op->Pause = std::min(2 * op->Pause, LongestPause);
-  later(pause, [self = shared_from_this(), op] { self->attempt(op); });
+  auto pause = op->RetryPause;
+  op->RetryPause = std::min(2 * op->RetryPause, MaxRetryPause);
+  runAfter(pause, [self = shared_from_this(), op] { self->attempt(op); });
 }
 
-/// Failure: the answer to a commit was lost, the transaction's connection
-/// closed, and the caller commits again. Symptom: "the transaction is gone,
-/// not run", though the first commit ran. What is stored under its key tells;
-/// without one, or with nothing stored, the outcome stays unknown.
-bool Router::asksForCommit(const OperationPtr &op,
-                           const StatementAnswer &answer) {
+/// When the answer to a commit is lost, the transaction's connection is closed.
+/// If the caller commits again, the owner answers "transaction gone, not run",
+/// although the first commit may have run. The record stored under the commit's
+/// key decides; without a key or a record the outcome stays unknown.
+bool Router::lookUpCommit(const OperationPtr &op,
+                          const StatementAnswer &answer) {
   auto &request = op->In.Request;
   if (request.What != Verb::Commit || request.Transaction.empty() ||
       answer.Code != AnswerCode::TransactionGone)
@@ -305,20 +309,21 @@
   return true;
 }
 
-void Router::end(const OperationPtr &op, StatementAnswer answer) {
-  if (asksForCommit(op, answer))
+void Router::finish(const OperationPtr &op, StatementAnswer answer) {
+  if (lookUpCommit(op, answer))
     return;
-  // "Not run" of the last attempt says nothing of an earlier one in doubt.
+  // "Not run" from the last attempt does not rule out that an earlier attempt
+  // with an unknown outcome ran.
   if (op->OutcomeInDoubt && answer.Effect == Outcome::NotRun &&
       op->In.Request.Mode == Access::Write)
     answer.Effect = Outcome::Unknown;
-  if (answer.Effect != Outcome::Done && worthRetrying(answer.Code) &&
+  if (answer.Effect != Outcome::Done && isRetryable(answer.Code) &&
       !answer.RetryAfter)
     answer.RetryAfter = RetryAfterFailure;
   op->Done(std::move(answer));
 }
 
-void Router::later(Duration pause, std::function<void()> action) {
+void Router::runAfter(Duration pause, std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(Loops.next(), pause);
   timer->async_wait([timer, action = std::move(action)](std::error_code ec) {
     if (!ec)
@@ -330,21 +335,22 @@
   auto request = op->In.Request;
   request.Id = {++LastRequest};
   request.Budget = timeLeft(*op);
-  auto place = parseTransactionHandle(request.Transaction);
-  if (!place) {
+  auto location = parseTransactionHandle(request.Transaction);
+  if (!location) {
     op->Done(notRun(request, AnswerCode::BadRequest,
-                    "transaction: not a handle of this service"));
+                    "transaction: malformed handle"));
     return;
   }
-  request.Target = place->Target;
-  if (place->Vm == Peers.self().Vm) {
+  request.Target = location->Target;
+  if (location->Vm == Peers.self().Vm) {
     sendLocal(op, std::move(request));
     return;
   }
-  auto owner = Peers.find(place->Vm);
+  auto owner = Peers.find(location->Vm);
   if (!owner) {
-    end(op, notRun(request, AnswerCode::TransactionGone,
-                   "the daemon that held the transaction is gone"));
+    finish(op,
+           notRun(request, AnswerCode::TransactionGone,
+                  "the daemon that owned the transaction is not available"));
     return;
   }
   sendRemote(op, *owner, request);
--- a/src/daemon/router.h
+++ b/src/daemon/router.h
@@ -1,6 +1,6 @@
 /// \file
-/// Routing at the entry: finds the target for a request, sends it to the
-/// target's owner, and goes on elsewhere where the answer allows it.
+/// Routing at the entry daemon: selects the target of a request, sends the
+/// request to the target's owner, and retries where the answer allows it.
 
 #ifndef PERIDOTFALL_DAEMON_ROUTER_H
 #define PERIDOTFALL_DAEMON_ROUTER_H
@@ -18,11 +18,11 @@
 
 namespace peridotfall {
 
-/// A request with what its caller's session knows.
+/// A request and the state of its caller's session.
 struct RoutedRequest {
   StatementRequest Request;
   SessionEntry Session;
-  GoneFlag Gone;
+  CallerGoneFlag Gone;
 };
 
 class Router : public std::enable_shared_from_this<Router> {
@@ -39,22 +39,27 @@
   using OperationPtr = std::shared_ptr<Operation>;
 
   void attempt(const OperationPtr &op);
-  static void aimAtPrimary(const Operation &op, const DatabaseConfig &database,
-                           const GroupView &view, StatementRequest &request);
+  /// Sets the request's target to the primary, or to another target if
+  /// the primary is unknown or attempts on it failed.
+  static void selectPrimary(const Operation &op, const DatabaseConfig &database,
+                            const GroupView &view, StatementRequest &request);
   void send(const OperationPtr &op, StatementRequest request);
   void sendLocal(const OperationPtr &op, StatementRequest request);
   void sendRemote(const OperationPtr &op, const Member &owner,
                   const StatementRequest &request);
-  void learn(const StatementRequest &request, const StatementAnswer &answer,
-             Duration took);
-  bool goOn(const OperationPtr &op, const StatementAnswer &answer);
-  void answered(const OperationPtr &op, const StatementRequest &sent,
-                StatementAnswer answer);
-  void end(const OperationPtr &op, StatementAnswer answer);
-  void later(Duration pause, std::function<void()> action);
+  void recordAnswer(const StatementRequest &request,
+                    const StatementAnswer &answer, Duration took);
+  /// \return whether the request is attempted again; takes from the database's
+  /// retry budget if so.
+  bool shouldRetry(const OperationPtr &op, const StatementAnswer &answer);
+  void handleAnswer(const OperationPtr &op, const StatementRequest &sent,
+                    StatementAnswer answer);
+  void finish(const OperationPtr &op, StatementAnswer answer);
+  void runAfter(Duration pause, std::function<void()> action);
   void routeTransaction(const OperationPtr &op);
-  /// \return whether the key of a commit without a transaction is looked up.
-  bool asksForCommit(const OperationPtr &op, const StatementAnswer &answer);
+  /// Starts a lookup of the outcome of a commit whose transaction is gone, if
+  /// the request has a key. \return whether a lookup was started.
+  bool lookUpCommit(const OperationPtr &op, const StatementAnswer &answer);
   Duration timeLeft(const Operation &op) const;
 
   http::Loops &Loops;
@@ -62,8 +67,8 @@
   const ConfigurationInForce &Config;
   Fleet &Peers;
   GroupViews &Views;
-  Owner &Local;
-  ReadPlacer Places;
+  Owner &LocalOwner;
+  ReadPlacer Placer;
   std::atomic<std::uint64_t> LastRequest;
 };
 
--- a/src/daemon/targets.h
+++ b/src/daemon/targets.h
@@ -1,5 +1,5 @@
 /// \file
-/// One adapter a target, made when first used.
+/// Target adapters by address, each created on first use.
 
 #ifndef PERIDOTFALL_DAEMON_TARGETS_H
 #define PERIDOTFALL_DAEMON_TARGETS_H
--- a/src/daemon/transaction_handle.cpp
+++ b/src/daemon/transaction_handle.cpp
@@ -10,12 +10,12 @@
 
 } // namespace
 
-std::string makeTransactionHandle(const TransactionPlace &place) {
-  return encodeBase64Url(place.Vm.Value + Separator + place.Target.Value +
+std::string makeTransactionHandle(const TransactionLocation &location) {
+  return encodeBase64Url(location.Vm.Value + Separator + location.Target.Value +
                          Separator + randomHex(RandomBytes));
 }
 
-std::optional<TransactionPlace>
+std::optional<TransactionLocation>
 parseTransactionHandle(const std::string &handle) {
   auto text = decodeBase64Url(handle);
   if (!text)
@@ -24,7 +24,7 @@
   auto last = text->rfind(Separator);
   if (first == std::string::npos || first == last || first == 0)
     return std::nullopt;
-  return TransactionPlace{
+  return TransactionLocation{
       VmName(text->substr(0, first)),
       TargetName(text->substr(first + 1, last - first - 1))};
 }
--- a/tests/daemon/owner_test.cpp
+++ b/tests/daemon/owner_test.cpp
@@ -1,4 +1,4 @@
-// The owner of a target, with a fake target that answers when told to.
+// Tests of Owner and Router with a fake target whose answers the test triggers.
 
 #include "daemon/owner.h"
 #include "daemon/router.h"
@@ -16,7 +16,7 @@
 constexpr std::uint32_t Slots = 2;
 constexpr std::uint32_t Connections = 8;
 
-/// What a target was asked, each with the way to answer it.
+/// Records the calls on a target, to be answered by the test.
 struct FakeTarget {
   struct Call {
     StatementRequest Request;
@@ -64,7 +64,7 @@
   Targets Apis{[this](const std::string &) { return Fake.api(); }};
   std::shared_ptr<Owner> Local;
   std::vector<StatementAnswer> Answers;
-  GoneFlag Gone = std::make_shared<std::atomic<bool>>(false);
+  CallerGoneFlag Gone = std::make_shared<std::atomic<bool>>(false);
   TargetName Press{"press"};
 
   OwnerFixture() {
@@ -94,10 +94,10 @@
       Answers.push_back(std::move(answer));
     });
   }
-  void tend(bool owned = true) {
+  void runMaintenance(bool owned = true) {
     Local->tend([owned](const TargetConfig &) { return owned; });
   }
-  /// Shows the owner that the statement is short.
+  /// Runs one statement, so that the owner estimates it as short.
   void runOnce() {
     execute(request());
     Time.advance(milliseconds(4));
@@ -124,10 +124,10 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "transactions, many of them, leave half of the connections "
-                  "and a slot's to others") {
-  // Callers open transactions and think. Beyond the limit one is refused with
-  // a time to come back, and a lookup still runs.
+                  "transactions, as many as allowed, leave half of the "
+                  "connections and one for each slot free") {
+  // Callers keep transactions open without statements. A transaction beyond
+  // the limit is refused with a retry time, and a lookup still runs.
   for (std::uint32_t n = 0; n < Connections; ++n) {
     execute(request(Verb::Begin));
     if (!Fake.Calls.empty())
@@ -141,13 +141,15 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "transaction, idle too long, is rolled back and said gone") {
-  // A caller stops in the middle. Its connection is closed, which makes the
-  // target roll back; its next statement is told so and was not run.
+                  "transaction, idle too long, is rolled back and reported "
+                  "gone") {
+  // A caller stops in the middle of a transaction and blocks others by its
+  // locks. The owner closes the connection, which makes the target roll back;
+  // the next statement is answered as gone and not run.
   auto handle = openTransaction();
   REQUIRE_FALSE(handle.empty());
   Time.advance(limits::IdleTransaction);
-  tend();
+  runMaintenance();
   CHECK(Fake.Closed == 1);
   auto it = request();
   it.Transaction = handle;
@@ -157,24 +159,24 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "transaction, a statement running, is not taken for idle") {
+                  "transaction, a statement running, does not count as idle") {
   auto it = request();
   it.Transaction = openTransaction();
   execute(it);
   Time.advance(2 * Duration(limits::IdleTransaction));
-  tend();
+  runMaintenance();
   CHECK(Fake.Closed == 0);
   Fake.answer();
   CHECK((Answers.back().Effect == Outcome::Done));
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "transaction, target leads again in a higher term, runs none "
-                  "of its statements alone") {
-  // The target is fenced, drops the transaction and leads again. The next
-  // statement carries the term of the beginning, so the target refuses it
-  // instead of running it outside any transaction; the caller is told that
-  // the transaction is gone.
+                  "transaction, target is primary again in a higher term, runs "
+                  "no statement outside the transaction") {
+  // The target is fenced, drops the transaction and becomes primary again. The
+  // next statement carries the term in which the transaction began, so the
+  // target refuses it instead of running it outside any transaction; the caller
+  // gets TransactionGone.
   auto begin = request(Verb::Begin);
   begin.InTerm = 3;
   execute(begin);
@@ -191,15 +193,16 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "ownership moves, what waits goes on and what runs ends") {
-  // Another daemon becomes rank 0. Requests that have not started are handed
-  // back to their entries as not run; those that run are answered here, and
-  // the connections are given up.
+                  "ownership moves, queued requests are returned and running "
+                  "ones finish") {
+  // Another daemon becomes rank 0. Requests that have not started return to
+  // their entry daemons as not run; running ones are answered here, and the
+  // connections are closed.
   runOnce();
   for (int n = 0; n < 5; ++n)
     execute(request());
   REQUIRE(Fake.Calls.size() == Slots);
-  tend(false);
+  runMaintenance(false);
   REQUIRE(Answers.size() == 3);
   for (const auto &it : Answers) {
     CHECK((it.Code == AnswerCode::NotOwner));
@@ -208,15 +211,16 @@
   Fake.answer();
   Fake.answer();
   CHECK((Answers.back().Effect == Outcome::Done));
-  tend(false);
+  runMaintenance(false);
   CHECK(Fake.Closed == Fake.Opened);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "ownership moves, an open transaction is finished here") {
+                  "ownership moves, an open transaction finishes at the old "
+                  "owner") {
   auto it = request(Verb::Rollback);
   it.Transaction = openTransaction();
-  tend(false);
+  runMaintenance(false);
   CHECK(Fake.Closed == 0);
   execute(it);
   REQUIRE(Fake.Calls.size() == 1);
@@ -224,7 +228,9 @@
   CHECK((Answers.back().Effect == Outcome::Done));
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "caller gone while it waits, nothing is run") {
+TEST_CASE_FIXTURE(
+    OwnerFixture,
+    "caller gone while its requests are queued, none of them runs") {
   runOnce();
   for (int n = 0; n < 3; ++n)
     execute(request());
@@ -238,9 +244,10 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "queue longer than the deadline, refuses with a time") {
-  // Each statement takes 300 ms, two run at once. Of 40 with 2 s to go the
-  // last are told at once to come back; none is left to wait for nothing.
+                  "queue longer than the deadline, refuses with a retry time") {
+  // Each statement takes 300 ms, two run at once. Of 40 statements with 2 s
+  // left the last are refused at once with a retry time, instead of waiting
+  // until their deadline passes.
   for (int n = 0; n < 4; ++n) {
     execute(request());
     Time.advance(milliseconds(300));
@@ -258,16 +265,16 @@
 }
 
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "write in doubt, later refused, is still said unknown") {
-  // The connection is lost after a payment left. Its key lets the entry ask
-  // again, and that attempt is refused as not run; the caller must not be
-  // told so of the payment, since the first attempt may have run.
+                  "write of unknown outcome, retry refused, stays unknown") {
+  // The connection is lost after a payment was sent. Its key lets the entry
+  // daemon retry, and that attempt is refused as not run. The caller must not
+  // get "not run", since the first attempt may have run.
   http::Loops loops(1);
   Member self{VmName("vm"), DomainName("d"), RegionName("r"), "", 1, false};
   Fleet peers(loops, self, {});
   SystemClock clock;
   std::atomic<int> executed{0};
-  Targets lossy([&](const std::string &) {
+  Targets lossyTargets([&](const std::string &) {
     target::Api api;
     api.Connect = [&](const target::OnConnection &done) {
       target::Connection it;
@@ -284,7 +291,7 @@
     return api;
   });
   auto owner =
-      std::make_shared<Owner>(clock, VmName("vm"), Config, lossy, Views);
+      std::make_shared<Owner>(clock, VmName("vm"), Config, lossyTargets, Views);
   auto router =
       std::make_shared<Router>(loops, clock, Config, peers, Views, *owner);
   RoutedRequest routed{request(), {}, Gone};
@@ -298,11 +305,10 @@
   loops.stop();
 }
 
-// An old primary comes back with a write that no other target has, and still
-// takes itself for a replica's equal. Read there, a session would see the
-// write, and with its next read no more.
+// A former primary returns with a write that no other target has, and is read
+// as a replica. A session would see the write, and miss it in its next read.
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "read, target's log of an older term, is said behind") {
+                  "read, target's log of an older term, is answered behind") {
   TargetView leader;
   leader.Reachable = true;
   leader.Last.IsPrimary = true;
@@ -323,12 +329,11 @@
   }
 }
 
-// The entry sends a read to the primary it knows. This owner was frozen and
-// takes the target for a replica: without a confirmation a replaced primary
-// would answer, and the session would miss its own write.
+// The entry daemon sends a read to the primary in its view. This owner was
+// frozen, and its view has the target as a replica: without a confirmation a
+// replaced primary would answer, and the session would miss its own write.
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "read for the primary alone, not confirmed, is not "
-                  "answered") {
+                  "primary-only read, not confirmed, is not answered") {
   auto read = request();
   read.Mode = Access::FreshRead;
   read.PrimaryOnly = true;
@@ -339,26 +344,26 @@
   CHECK(Answers.back().RetryAfter.has_value());
 }
 
-// The answer to a commit was lost, so the owner closed its connection and
-// forgot the transaction. The caller commits again, and is told what is known:
-// never that the transaction did not run.
+// The answer to a commit was lost, so the owner closed the connection and
+// removed the transaction. The caller commits again. The answer must not be
+// that the transaction did not run, since the first commit may have run.
 TEST_CASE_FIXTURE(OwnerFixture,
-                  "commit asked again, transaction forgotten, is never said "
-                  "not run") {
+                  "commit retried, transaction gone, is never answered as not "
+                  "run") {
   SystemClock clock;
   http::Loops loops(1);
   Member self;
   self.Vm = VmName("vm");
   self.Domain = DomainName("d");
   Fleet peers(loops, self, {});
-  std::vector<Verb> asked;
-  Targets forgetful([&](const std::string &) {
+  std::vector<Verb> executedVerbs;
+  Targets targets([&](const std::string &) {
     target::Api api;
     api.Connect = [&](const target::OnConnection &done) {
       target::Connection it;
       it.Execute = [&](const StatementRequest &request, milliseconds,
                        const target::OnAnswer &answer) {
-        asked.push_back(request.What);
+        executedVerbs.push_back(request.What);
         answer(notRun(request, AnswerCode::TransactionGone, ""));
       };
       it.Close = [] {};
@@ -368,7 +373,7 @@
     return api;
   });
   auto owner =
-      std::make_shared<Owner>(clock, VmName("vm"), Config, forgetful, Views);
+      std::make_shared<Owner>(clock, VmName("vm"), Config, targets, Views);
   auto router =
       std::make_shared<Router>(loops, clock, Config, peers, Views, *owner);
   for (const auto *key : {"", "payment-1"}) {
@@ -382,7 +387,7 @@
     CHECK((it.Effect == Outcome::Unknown));
     CHECK((it.Code == AnswerCode::TransactionGone));
   }
-  // With a key, the primary was asked what is stored under it.
-  CHECK((asked == std::vector<Verb>{Verb::Commit}));
+  // With a key, the router queried the primary for the record stored under it.
+  CHECK((executedVerbs == std::vector<Verb>{Verb::Commit}));
   loops.stop();
 }
