--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -33,7 +33,7 @@
   return out;
 }
 
-/// What the path asks for: v1/databases/DB/statements and so on.
+/// Operation named by a path such as v1/databases/DB/statements.
 struct Operation {
   Verb What = Verb::Statement;
   DatabaseName Database;
@@ -85,12 +85,12 @@
   out.Budget = milliseconds(n);
 }
 
-void readKey(const http::Request &request, StatementRequest &out,
-             Findings &findings) {
+void readIdempotencyKey(const http::Request &request, StatementRequest &out,
+                        Findings &findings) {
   out.Key = std::string(http::findHeader(request.Fields, KeyHeader));
   if (out.Key.size() > limits::MaxKeyLength)
     findings.push_back(
-        {KeyHeader, fmt::format("{} characters at most", limits::MaxKeyLength),
+        {KeyHeader, fmt::format("at most {} characters", limits::MaxKeyLength),
          std::to_string(out.Key.size())});
 }
 
@@ -98,7 +98,7 @@
                     Findings &findings) {
   if (list.size() > limits::MaxParameters) {
     findings.push_back({"/params",
-                        fmt::format("{} values at most", limits::MaxParameters),
+                        fmt::format("at most {} values", limits::MaxParameters),
                         std::to_string(list.size())});
     return;
   }
@@ -107,7 +107,7 @@
     auto value = target::valueFromJson(it);
     if (!value)
       findings.push_back({fmt::format("/params/{}", n),
-                          "null, a number of 64 bits, text or "
+                          "null, a 64-bit number, text or "
                           "{\"base64\": text}",
                           excerpt(it)});
     out.Params.push_back(value.value_or(Null{}));
@@ -126,7 +126,8 @@
   out.Sql = it.text("sql");
   if (json.value().is_object() && json.value().contains("params"))
     readParameters(it.list("params"), out, findings);
-  // Inside a transaction all statements run on the primary in any case.
+  // The kind is optional in a transaction: all its statements run on the
+  // primary.
   out.Kind = KindName(out.Transaction.empty() ? it.text("kind")
                                               : it.textOr("kind", ""));
   it.finish();
@@ -137,7 +138,7 @@
     out.Repeatable = kind->Repeatable;
   } else if (!out.Kind.empty())
     findings.push_back(
-        {"/kind", "a kind of request of the configuration", out.Kind.Value});
+        {"/kind", "a request kind of the configuration", out.Kind.Value});
 }
 
 CallerProblem problem(int status, AnswerCode code, Finding finding) {
@@ -182,7 +183,7 @@
           body.dump(-1, ' ', false, Json::error_handler_t::replace)};
 }
 
-http::Response doneResponse(const StatementAnswer &answer) {
+http::Response successResponse(const StatementAnswer &answer) {
   Json rows = Json::array();
   for (const auto &row : answer.Rows)
     rows.push_back(target::toJson(row));
@@ -199,7 +200,7 @@
           body.dump(-1, ' ', false, Json::error_handler_t::replace)};
 }
 
-/// Whole seconds, rounded up: a caller must not come back too early.
+/// Whole seconds, rounded up so that no caller retries too early.
 std::string retryAfterText(Duration it) {
   auto n = duration_cast<seconds>(it);
   if (n < it)
@@ -252,7 +253,7 @@
   statement.Traceparent =
       std::string(http::findHeader(request.Fields, "traceparent"));
   readDeadline(request, statement, bad.Reasons);
-  readKey(request, statement, bad.Reasons);
+  readIdempotencyKey(request, statement, bad.Reasons);
   if (statement.What == Verb::Statement)
     readBody(request, *database, statement, bad.Reasons);
   if (http::findHeader(request.Fields, NotRepeatableHeader) == "true")
@@ -263,8 +264,9 @@
     if (session)
       out.Session = std::move(session.value());
     else
-      bad.Reasons.push_back(
-          {SessionHeader, "a token of this service", session.error().Message});
+      bad.Reasons.push_back({SessionHeader,
+                             "a session token signed with a known key",
+                             session.error().Message});
   }
   if (!bad.Reasons.empty())
     return bad;
@@ -275,7 +277,7 @@
                             const StatementAnswer &answer,
                             const TokenKeys &keys) {
   auto out = answer.Effect == Outcome::Done
-                 ? doneResponse(answer)
+                 ? successResponse(answer)
                  : problemResponse(statusOf(answer), answer.Code, answer.Effect,
                                    answer.Detail);
   if (answer.RetryAfter)
--- a/src/daemon/caller_api.h
+++ b/src/daemon/caller_api.h
@@ -1,6 +1,6 @@
 /// \file
-/// The callers' protocol: HTTP requests to typed requests, answers to
-/// responses. No input or output here.
+/// The callers' protocol: parses HTTP requests into typed requests and
+/// formats answers as HTTP responses. Does no I/O.
 
 #ifndef PERIDOTFALL_DAEMON_CALLER_API_H
 #define PERIDOTFALL_DAEMON_CALLER_API_H
@@ -20,7 +20,7 @@
 inline constexpr auto NotRepeatableHeader = "peridotfall-not-repeatable";
 inline constexpr auto DeadlineHeader = "peridotfall-deadline-ms";
 
-/// A request of a caller, understood.
+/// A caller's parsed request.
 struct CallerRequest {
   StatementRequest Statement;
   SessionToken Session;
@@ -28,7 +28,7 @@
   bool operator==(const CallerRequest &) const = default;
 };
 
-/// Why a request was not understood; nothing was run.
+/// Why a request was rejected before anything ran.
 struct CallerProblem {
   int Status = 400;
   AnswerCode Code = AnswerCode::BadRequest;
@@ -40,12 +40,12 @@
 using CallerResult =
     BOOST_OUTCOME_V2_NAMESPACE::checked<CallerRequest, CallerProblem>;
 
-/// \param config null before any is in force.
+/// \param config null until a configuration is in force.
 CallerResult parseCallerRequest(const http::Request &request,
                                 const Configuration *config,
                                 const TokenKeys &keys);
 
-/// \return the response, with the session's new token.
+/// \return the response, including the session's updated token.
 http::Response makeResponse(const CallerRequest &request,
                             const StatementAnswer &answer,
                             const TokenKeys &keys);
--- a/src/daemon/configuration_relay.cpp
+++ b/src/daemon/configuration_relay.cpp
@@ -16,17 +16,17 @@
 using telemetry::field;
 
 constexpr milliseconds TickPeriod{100};
-/// Of a probe or an announcement: several times what the slowest link between
-/// regions needs, and short enough that three lost in a row stay within the
-/// two seconds in which a change has to be in force.
-constexpr milliseconds NewsLimit{500};
-constexpr milliseconds FetchLimit{800};
+/// For a probe or an announcement: several times the round trip of the slowest
+/// link between regions, and short enough that three losses in a row stay
+/// within the two seconds in which a change has to be in force.
+constexpr milliseconds GossipTimeout{500};
+constexpr milliseconds FetchTimeout{800};
 constexpr milliseconds SeedPeriod{1'000};
-constexpr milliseconds CleaningPeriod{10'000};
-constexpr std::size_t MostSeenTrees = 4'096;
-/// Records of third members in one message: what a bad day changes in ten
-/// seconds, in about 3 KB.
-constexpr std::size_t MostRecords = 32;
+constexpr milliseconds CleanupPeriod{10'000};
+constexpr std::size_t MaxSeenTrees = 4'096;
+/// Records of other members in one gossip message, about 3 KB. Covers the
+/// changes of ten seconds with many failures.
+constexpr std::size_t MaxRelayedRecords = 32;
 
 Stamp wallMillis() {
   auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -44,7 +44,7 @@
     : Loop(loop), Timer(loop), Time(clock), Config(config), Peers(fleet),
       Seeds(std::move(seeds)),
       Random(fleet.self().Incarnation ^ std::hash<VmName>{}(fleet.self().Vm)),
-      Tried("no peers known") {}
+      PeerResult("no peers known") {}
 
 void ConfigurationRelay::post(std::function<void()> action) {
   asio::post(Loop, [self = shared_from_this(), action = std::move(action)] {
@@ -71,9 +71,9 @@
   });
 }
 
-std::string ConfigurationRelay::peersTried() const {
-  std::lock_guard guard(TriedLock);
-  return Tried;
+std::string ConfigurationRelay::lastPeerResult() const {
+  std::lock_guard guard(PeerResultLock);
+  return PeerResult;
 }
 
 void ConfigurationRelay::tick() {
@@ -85,7 +85,8 @@
     bool Changed = false;
   };
   auto work = Peers.withMembership([&](Membership &it) {
-    bool changed = std::exchange(Generation, it.generation()) != Generation;
+    bool changed =
+        std::exchange(LoggedGeneration, it.generation()) != LoggedGeneration;
     return Work{it.probesDue(now), it.takeObserved(),
                 changed ? it.live().size() : 0, changed};
   });
@@ -97,10 +98,10 @@
     announce(work.Observed, false);
   if (!Config.get() && now >= NextSeeds) {
     NextSeeds = now + SeedPeriod;
-    askSeeds();
+    fetchFromSeeds();
   }
-  if (now >= NextCleaning) {
-    NextCleaning = now + CleaningPeriod;
+  if (now >= NextCleanup) {
+    NextCleanup = now + CleanupPeriod;
     Peers.closeIdle();
   }
   Timer.expires_after(TickPeriod);
@@ -110,7 +111,7 @@
   });
 }
 
-void ConfigurationRelay::askSeeds() {
+void ConfigurationRelay::fetchFromSeeds() {
   for (const auto &it : Seeds) {
     fetchConfiguration(it, true, [] {});
     if (Vms.stamp() == 0)
@@ -119,7 +120,7 @@
 }
 
 messages::News
-ConfigurationRelay::makeNews(const std::vector<MemberRecord> &members) {
+ConfigurationRelay::makeGossip(const std::vector<MemberRecord> &members) {
   messages::News it;
   it.From = Peers.withMembership([](Membership &n) { return n.self(); });
   auto config = Config.get();
@@ -147,118 +148,127 @@
 
 void ConfigurationRelay::probe(const Member &member) {
   auto now = Time.now();
-  auto told = Peers.withMembership([&](Membership &it) {
-    auto records = it.recent(now, MostRecords);
+  auto gossipRecords = Peers.withMembership([&](Membership &it) {
+    auto records = it.recent(now, MaxRelayedRecords);
     for (auto &record : it.about(member.Vm))
       records.push_back(std::move(record));
     return records;
   });
   call(member.InnerAddress, messages::NewsPath,
-       messages::encode(makeNews(told)), http::wholeWithin(NewsLimit),
+       messages::encode(makeGossip(gossipRecords)),
+       http::wholeWithin(GossipTimeout),
        [this, member](const http::CallResult &result) {
-         auto news = result && result.value().Status == http::StatusOk
-                         ? messages::decodeNews(result.value().Body)
-                         : Result<messages::News>(Error{});
+         auto gossip = result && result.value().Status == http::StatusOk
+                           ? messages::decodeNews(result.value().Body)
+                           : Result<messages::News>(Error{});
          Peers.withMembership([&](Membership &it) {
-           if (news)
-             it.takeAnswer(member, news.value().From, Time.now());
+           if (gossip)
+             it.takeAnswer(member, gossip.value().From, Time.now());
            else
              it.takeMiss(member, Time.now());
          });
-         if (news)
-           take(news.value(), true, [] {});
+         if (gossip)
+           handleGossip(gossip.value(), true, [] {});
        });
 }
 
-messages::News ConfigurationRelay::answerNews(const messages::News &news) {
+messages::News ConfigurationRelay::answerGossip(const messages::News &gossip) {
   auto now = Time.now();
-  auto told = Peers.withMembership([&](Membership &it) {
-    auto records = it.recent(now, MostRecords);
-    for (auto &record : it.about(news.From.It.Vm))
+  auto gossipRecords = Peers.withMembership([&](Membership &it) {
+    auto records = it.recent(now, MaxRelayedRecords);
+    for (auto &record : it.about(gossip.From.It.Vm))
       records.push_back(std::move(record));
     return records;
   });
-  return makeNews(told);
+  return makeGossip(gossipRecords);
 }
 
-void ConfigurationRelay::take(const messages::News &news, bool spread,
-                              const Done &done) {
+void ConfigurationRelay::handleGossip(const messages::News &gossip,
+                                      bool announceToDomain, const Done &done) {
   Peers.withMembership([&](Membership &it) {
-    it.takeContact(news.From, Time.now());
-    it.takeNews(news.Members, Time.now());
+    it.takeContact(gossip.From, Time.now());
+    it.takeNews(gossip.Members, Time.now());
   });
-  auto it = news;
+  auto it = gossip;
   if (it.Holder.empty())
     it.Holder = it.From.It.InnerAddress;
-  takeRevision(it, spread, [this, it, done] { takeStamp(it, done); });
+  fetchNewerConfiguration(it, announceToDomain,
+                          [this, it, done] { fetchNewerList(it, done); });
 }
 
-void ConfigurationRelay::land(Flight &it) {
+void ConfigurationRelay::finishFetch(Fetch &it) {
   it.Busy = false;
-  for (const auto &next : std::exchange(it.Waiting, {}))
+  for (const auto &next : std::exchange(it.Queued, {}))
     next();
 }
 
-void ConfigurationRelay::takeRevision(const messages::News &news, bool spread,
-                                      const Done &done) {
+void ConfigurationRelay::fetchNewerConfiguration(const messages::News &gossip,
+                                                 bool announceToDomain,
+                                                 const Done &done) {
   auto config = Config.get();
-  if (news.Revision <= (config ? config->Revision : 0))
+  if (gossip.Revision <= (config ? config->Revision : 0))
     return done();
-  if (!ConfigurationFlight.Busy)
-    return fetchConfiguration(news.Holder, spread, done);
-  ConfigurationFlight.Waiting.push_back(
-      [this, news, spread, done] { takeRevision(news, spread, done); });
+  if (!ConfigurationFetch.Busy)
+    return fetchConfiguration(gossip.Holder, announceToDomain, done);
+  ConfigurationFetch.Queued.push_back([this, gossip, announceToDomain, done] {
+    fetchNewerConfiguration(gossip, announceToDomain, done);
+  });
 }
 
-void ConfigurationRelay::takeStamp(const messages::News &news,
-                                   const Done &done) {
-  if (!Vms.wants(news.ListStamp, news.ListDigest, wallMillis()))
+void ConfigurationRelay::fetchNewerList(const messages::News &gossip,
+                                        const Done &done) {
+  if (!Vms.wants(gossip.ListStamp, gossip.ListDigest, wallMillis()))
     return done();
-  if (!ListFlight.Busy)
-    return fetchList(news.Holder, done);
-  ListFlight.Waiting.push_back([this, news, done] { takeStamp(news, done); });
+  if (!ListFetch.Busy)
+    return fetchList(gossip.Holder, done);
+  ListFetch.Queued.push_back(
+      [this, gossip, done] { fetchNewerList(gossip, done); });
 }
 
-void ConfigurationRelay::tried(const std::string &address,
-                               const std::string &why) {
-  std::lock_guard guard(TriedLock);
-  Tried = "peer " + address + ": " + why;
+void ConfigurationRelay::recordPeerResult(const std::string &address,
+                                          const std::string &why) {
+  std::lock_guard guard(PeerResultLock);
+  PeerResult = "peer " + address + ": " + why;
 }
 
 void ConfigurationRelay::fetchConfiguration(const std::string &address,
-                                            bool spread, const Done &done) {
-  ConfigurationFlight.Busy = true;
-  call(address, messages::ConfigurationPath, "", http::beginsWithin(FetchLimit),
-       [this, spread, address, done](const http::CallResult &result) {
-         auto config = result && result.value().Status == http::StatusOk
-                           ? messages::decodeConfiguration(result.value().Body)
-                           : Result<Configuration>(Error{
-                                 ErrorCode::NotFound,
-                                 result ? "has none" : "does not answer"});
-         tried(address, config ? "taken" : config.error().Message);
-         if (config && takeConfiguration(std::move(config.value())) && spread)
+                                            bool announceToDomain,
+                                            const Done &done) {
+  ConfigurationFetch.Busy = true;
+  call(address, messages::ConfigurationPath, "",
+       http::beginsWithin(FetchTimeout),
+       [this, announceToDomain, address, done](const http::CallResult &result) {
+         auto config =
+             result && result.value().Status == http::StatusOk
+                 ? messages::decodeConfiguration(result.value().Body)
+                 : Result<Configuration>(Error{ErrorCode::NotFound,
+                                               result ? "has no configuration"
+                                                      : "did not answer"});
+         recordPeerResult(address, config ? "taken" : config.error().Message);
+         if (config && applyConfiguration(std::move(config.value())) &&
+             announceToDomain)
            announce({}, true);
          done();
-         land(ConfigurationFlight);
+         finishFetch(ConfigurationFetch);
        });
 }
 
 void ConfigurationRelay::fetchList(const std::string &address,
                                    const Done &done) {
-  ListFlight.Busy = true;
-  call(address, messages::MembersPath, "", http::beginsWithin(FetchLimit),
+  ListFetch.Busy = true;
+  call(address, messages::MembersPath, "", http::beginsWithin(FetchTimeout),
        [this, done](const http::CallResult &result) {
          if (result && result.value().Status == http::StatusOk) {
            auto list = messages::decodeVmList(result.value().Body);
            if (list)
-             takeList(list.value());
+             applyList(list.value());
          }
          done();
-         land(ListFlight);
+         finishFetch(ListFetch);
        });
 }
 
-bool ConfigurationRelay::takeConfiguration(Configuration config) {
+bool ConfigurationRelay::applyConfiguration(Configuration config) {
   auto revision = config.Revision;
   auto id = config.Id;
   if (!Config.offer(std::move(config)))
@@ -268,7 +278,7 @@
   return true;
 }
 
-bool ConfigurationRelay::takeList(const messages::VmList &list) {
+bool ConfigurationRelay::applyList(const messages::VmList &list) {
   if (!Vms.offerRelayed(list.Members, list.Stamp, wallMillis()))
     return false;
   Peers.setMembers(Vms.list());
@@ -277,7 +287,7 @@
 
 void ConfigurationRelay::offerConfiguration(Configuration config) {
   post([this, config = std::move(config)] {
-    if (takeConfiguration(config))
+    if (applyConfiguration(config))
       announce({}, false);
   });
 }
@@ -291,11 +301,11 @@
   });
 }
 
-bool ConfigurationRelay::firstTime(std::uint64_t treeId) {
+bool ConfigurationRelay::markSeen(std::uint64_t treeId) {
   if (!SeenTrees.insert(treeId).second)
     return false;
   SeenOrder.push_back(treeId);
-  if (SeenOrder.size() > MostSeenTrees) {
+  if (SeenOrder.size() > MaxSeenTrees) {
     SeenTrees.erase(SeenOrder.front());
     SeenOrder.pop_front();
   }
@@ -304,30 +314,32 @@
 
 void ConfigurationRelay::announce(const std::vector<MemberRecord> &members,
                                   bool domainOnly) {
-  auto news = makeNews(members);
-  news.TreeId = Random() | 1;
-  news.Along = {Peers.self().Vm, domainOnly};
-  firstTime(news.TreeId);
-  passOn(news, Peers.self().Vm);
+  auto gossip = makeGossip(members);
+  gossip.TreeId = Random() | 1;
+  gossip.Along = {Peers.self().Vm, domainOnly};
+  markSeen(gossip.TreeId);
+  forwardToChildren(gossip, Peers.self().Vm);
 }
 
-void ConfigurationRelay::passOn(const messages::News &news,
-                                const VmName &node) {
-  auto order = arrange(Peers.members(), news.Along);
-  for (const auto &it : childrenOf(order, news.Along, node))
+void ConfigurationRelay::forwardToChildren(const messages::News &gossip,
+                                           const VmName &node) {
+  auto order = arrange(Peers.members(), gossip.Along);
+  for (const auto &it : childrenOf(order, gossip.Along, node))
     if (it.Vm != Peers.self().Vm)
-      send(it, news);
+      send(it, gossip);
 }
 
-void ConfigurationRelay::send(const Member &child, const messages::News &news) {
-  call(child.InnerAddress, messages::NewsPath, messages::encode(news),
-       http::wholeWithin(NewsLimit),
-       [this, child, news](const http::CallResult &result) {
-         // Failure: an inner node of the tree is dead or cut off. Symptom: all
-         // below it wait for a comparison with a peer. Telling its children in
-         // its place suffices, since the tree is known to all.
+void ConfigurationRelay::send(const Member &child,
+                              const messages::News &gossip) {
+  call(child.InnerAddress, messages::NewsPath, messages::encode(gossip),
+       http::wholeWithin(GossipTimeout),
+       [this, child, gossip](const http::CallResult &result) {
+         // If an inner node of the tree is dead or cut off, all members below
+         // it would learn of the change only when they compare state with a
+         // peer. Every member knows the tree, so the sender serves the node's
+         // children in its place.
          if (!result || result.value().Status != http::StatusOk)
-           passOn(news, child.Vm);
+           forwardToChildren(gossip, child.Vm);
        });
 }
 
@@ -353,30 +365,30 @@
   }
   if (request.Path != messages::NewsPath)
     return false;
-  auto news = messages::decodeNews(request.Body);
-  if (!news) {
+  auto gossip = messages::decodeNews(request.Body);
+  if (!gossip) {
     respond({http::StatusBad, {}, ""});
     return true;
   }
-  post([this, news = std::move(news.value()), respond] {
-    respond({http::StatusOk, {}, messages::encode(answerNews(news))});
-    bool pass = news.TreeId != 0 && firstTime(news.TreeId);
-    take(news, news.TreeId == 0, [this, news, pass] {
-      if (!pass)
+  post([this, gossip = std::move(gossip.value()), respond] {
+    respond({http::StatusOk, {}, messages::encode(answerGossip(gossip))});
+    bool isNew = gossip.TreeId != 0 && markSeen(gossip.TreeId);
+    handleGossip(gossip, gossip.TreeId == 0, [this, gossip, isNew] {
+      if (!isNew)
         return;
-      auto next = news;
-      auto mine = makeNews(news.Members);
-      // The children fetch from here, where the change is held already.
-      if (mine.Revision >= news.Revision) {
-        next = mine;
-        next.TreeId = news.TreeId;
-        next.Along = news.Along;
+      auto next = gossip;
+      auto own = makeGossip(gossip.Members);
+      // If this daemon already has the change, the children fetch it here.
+      if (own.Revision >= gossip.Revision) {
+        next = own;
+        next.TreeId = gossip.TreeId;
+        next.Along = gossip.Along;
       } else {
-        next.From = mine.From;
+        next.From = own.From;
         next.Holder =
-            news.Holder.empty() ? news.From.It.InnerAddress : news.Holder;
+            gossip.Holder.empty() ? gossip.From.It.InnerAddress : gossip.Holder;
       }
-      passOn(next, Peers.self().Vm);
+      forwardToChildren(next, Peers.self().Vm);
     });
   });
   return true;
--- a/src/daemon/configuration_relay.h
+++ b/src/daemon/configuration_relay.h
@@ -1,7 +1,7 @@
 /// \file
-/// Keeps the configuration, the list of VMs and the membership the same at
-/// all daemons: probes, comparisons with peers, and announcements that are
-/// passed down a tree.
+/// Synchronizes the configuration, the list of VMs and the membership among
+/// all daemons: by probes, by comparison with peers, and by announcements that
+/// are forwarded along a tree.
 
 #ifndef PERIDOTFALL_DAEMON_CONFIGURATION_RELAY_H
 #define PERIDOTFALL_DAEMON_CONFIGURATION_RELAY_H
@@ -24,60 +24,64 @@
 
 namespace peridotfall {
 
-/// Its state is confined to one loop.
+/// All state is confined to one event loop.
 class ConfigurationRelay
     : public std::enable_shared_from_this<ConfigurationRelay> {
 public:
-  /// \param seeds inner addresses of peers to ask until a configuration is in
-  /// force, for a start while the platform is down.
+  /// \param seeds inner addresses of peers to fetch the configuration from
+  /// until one is in force. Allows a start while the platform is down.
   ConfigurationRelay(asio::io_context &loop, const Clock &clock,
                      ConfigurationInForce &config, Fleet &fleet,
                      std::vector<std::string> seeds);
 
   void start();
   void stop();
-  /// Tells the others that this daemon leaves, and owns nothing from now on.
+  /// Announces to the other members that this daemon is leaving; it owns no
+  /// targets from now on.
   void leave();
-  /// Takes what this daemon read from the platform. From any thread.
+  /// Applies and announces data read from the platform. Thread-safe.
   void offerConfiguration(Configuration config);
   void offerList(std::vector<Member> list);
-  /// Answers a request of another daemon. \return whether the path is one of
-  /// its own. From any thread.
+  /// Answers a request of another daemon. \return whether the path belongs to
+  /// the relay. Thread-safe.
   bool serve(const http::Request &request, const http::Respond &respond);
-  /// \return why no configuration could be had from peers, for /readyz.
-  std::string peersTried() const;
+  /// \return the result of the last configuration fetch, for /readyz.
+  std::string lastPeerResult() const;
 
 private:
   using Done = std::function<void()>;
 
-  /// One fetch at a time; who else heard of the same looks again after it.
-  /// Load: one change comes along the trees of all watchers within a few
-  /// milliseconds. Harm: each copy is up to a megabyte.
-  struct Flight {
+  /// Allows one fetch at a time. Further requests are queued and checked again
+  /// when it ends: a change arrives along the trees of all watchers within a
+  /// few milliseconds, and each fetch would transfer up to a megabyte.
+  struct Fetch {
     bool Busy = false;
-    std::vector<Done> Waiting;
+    std::vector<Done> Queued;
   };
-  static void land(Flight &it);
+  static void finishFetch(Fetch &it);
 
   void post(std::function<void()> action);
   void tick();
-  void askSeeds();
-  messages::News makeNews(const std::vector<MemberRecord> &members);
+  void fetchFromSeeds();
+  messages::News makeGossip(const std::vector<MemberRecord> &members);
   void probe(const Member &member);
-  messages::News answerNews(const messages::News &news);
-  void take(const messages::News &news, bool spread, const Done &done);
-  void takeRevision(const messages::News &news, bool spread, const Done &done);
-  void takeStamp(const messages::News &news, const Done &done);
-  void fetchConfiguration(const std::string &address, bool spread,
+  messages::News answerGossip(const messages::News &gossip);
+  void handleGossip(const messages::News &gossip, bool announceToDomain,
+                    const Done &done);
+  void fetchNewerConfiguration(const messages::News &gossip,
+                               bool announceToDomain, const Done &done);
+  void fetchNewerList(const messages::News &gossip, const Done &done);
+  void fetchConfiguration(const std::string &address, bool announceToDomain,
                           const Done &done);
   void fetchList(const std::string &address, const Done &done);
-  void tried(const std::string &address, const std::string &why);
-  bool takeConfiguration(Configuration config);
-  bool takeList(const messages::VmList &list);
+  void recordPeerResult(const std::string &address, const std::string &why);
+  bool applyConfiguration(Configuration config);
+  bool applyList(const messages::VmList &list);
   void announce(const std::vector<MemberRecord> &members, bool domainOnly);
-  void passOn(const messages::News &news, const VmName &node);
-  void send(const Member &child, const messages::News &news);
-  bool firstTime(std::uint64_t treeId);
+  void forwardToChildren(const messages::News &gossip, const VmName &node);
+  void send(const Member &child, const messages::News &gossip);
+  /// \return false if the announcement was seen before.
+  bool markSeen(std::uint64_t treeId);
   void call(const std::string &address, const char *path, std::string body,
             const http::AnswerLimits &limits, http::OnResult done);
 
@@ -88,17 +92,17 @@
   Fleet &Peers;
   const std::vector<std::string> Seeds;
   VmListInForce Vms;
-  Flight ConfigurationFlight;
-  Flight ListFlight;
+  Fetch ConfigurationFetch;
+  Fetch ListFetch;
   std::set<std::uint64_t> SeenTrees;
   std::deque<std::uint64_t> SeenOrder;
   std::mt19937_64 Random;
   TimePoint NextSeeds{};
-  TimePoint NextCleaning{};
-  std::uint64_t Generation = 0; ///< Of the view last logged.
+  TimePoint NextCleanup{};
+  std::uint64_t LoggedGeneration = 0; ///< Of the membership view.
   bool Stopped = false;
-  mutable std::mutex TriedLock;
-  std::string Tried;
+  mutable std::mutex PeerResultLock;
+  std::string PeerResult;
 };
 
 } // namespace peridotfall
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -30,7 +30,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-Member selfOf(const DaemonOptions &options) {
+Member selfMember(const DaemonOptions &options) {
   auto it = options.Self;
   it.Incarnation = startTime();
   return it;
@@ -42,7 +42,7 @@
   return it;
 }
 
-/// A request whose caller names no deadline has that of its kind.
+/// Applies the kind's deadline to a request that has no deadline header.
 void useKindDeadline(const Configuration *config, const http::Request &request,
                      StatementRequest &out) {
   const auto *database = config ? findDatabase(*config, out.Database) : nullptr;
@@ -65,16 +65,16 @@
         return telemetry::traceStatements(
             target::makeHttpTarget(Loops.next(), address), Traces);
       }),
-      Peers(Loops, selfOf(Options), {.Tls = tls.InnerClient}),
-      Local(
+      Peers(Loops, selfMember(Options), {.Tls = tls.InnerClient}),
+      LocalOwner(
           std::make_shared<Owner>(Time, Options.Self.Vm, Config, Apis, Views)),
-      Routes(
-          std::make_shared<Router>(Loops, Time, Config, Peers, Views, *Local)),
+      StatementRouter(std::make_shared<Router>(Loops, Time, Config, Peers,
+                                               Views, *LocalOwner)),
       PlatformCalls(std::make_shared<platform::CallCounts>()),
       PlatformApi(platform::makeGuarded(
           telemetry::countCalls(platform::makeHttpPlatform(
                                     Loops.at(0), {.Address = Options.Platform}),
-                                Counts),
+                                Metrics),
           Loops.at(0), Time, guardOptions(Peers.self()), PlatformCalls)),
       Failover(std::make_shared<FailoverDriver>(
           Loops.at(0), Time, Config, Peers, Apis, Views, PlatformApi,
@@ -107,19 +107,18 @@
 Findings Daemon::start() {
   Findings findings;
   if (auto ec = Callers->start())
-    findings.push_back({"--listen", "an address that is free", ec.message()});
+    findings.push_back({"--listen", "a free address", ec.message()});
   if (auto ec = Inner->start())
-    findings.push_back(
-        {"--listen_inner", "an address that is free", ec.message()});
+    findings.push_back({"--listen_inner", "a free address", ec.message()});
   if (!findings.empty())
     return findings;
-  Peers.listeningOn(innerPort());
+  Peers.setListenPort(innerPort());
   Relay->start();
   Traces->start();
   Sync->start();
   Failover->start([this] {
-    Local->giveUpLate();
-    Local->tend([this](const TargetConfig &it) {
+    LocalOwner->giveUpLate();
+    LocalOwner->tend([this](const TargetConfig &it) {
       auto config = Config.get();
       auto ranked = Peers.ranked(*config, it);
       return ranked.empty() || ranked.front().Vm == Peers.self().Vm;
@@ -138,9 +137,9 @@
   Relay->leave();
   Callers->drain();
   auto end = Time.now() + limit;
-  while ((Serving > 0 || Local->inFlight() > 0) && Time.now() < end)
+  while ((InFlight > 0 || LocalOwner->inFlight() > 0) && Time.now() < end)
     std::this_thread::sleep_for(Step);
-  bool finished = Serving == 0 && Local->inFlight() == 0;
+  bool finished = InFlight == 0 && LocalOwner->inFlight() == 0;
   Failover->stop();
   Sync->stop();
   Relay->stop();
@@ -160,20 +159,21 @@
     return {http::StatusUnavailable,
             {},
             "no configuration in force yet; platform: " + Sync->lastAnswer() +
-                "; " + Relay->peersTried() + "\n"};
+                "; " + Relay->lastPeerResult() + "\n"};
   return {http::StatusOk, {}, "ready\n"};
 }
 
 Stats Daemon::stats() {
   auto config = Config.get();
-  Counts.Revision->Set(config ? static_cast<double>(config->Revision) : 0);
-  Counts.CallerConnections->Set(static_cast<double>(Callers->connections()));
-  Counts.RequestsInFlight->Set(static_cast<double>(Serving.load()));
-  return telemetry::readStats(Counts);
+  Metrics.Revision->Set(config ? static_cast<double>(config->Revision) : 0);
+  Metrics.CallerConnections->Set(static_cast<double>(Callers->connections()));
+  Metrics.RequestsInFlight->Set(static_cast<double>(InFlight.load()));
+  return telemetry::readStats(Metrics);
 }
 
-void Daemon::finish(telemetry::Span span, const StatementAnswer &answer,
-                    http::Response &out) {
+void Daemon::finishEntrySpan(telemetry::Span span,
+                             const StatementAnswer &answer,
+                             http::Response &out) {
   if (!span.traceparent().empty())
     out.Fields.push_back({"traceparent", span.traceparent()});
   span.Attributes = {{"peridotfall.outcome", toString(answer.Effect)},
@@ -186,7 +186,7 @@
   stats();
   return {http::StatusOk,
           {{"content-type", "text/plain; version=0.0.4"}},
-          telemetry::writeText(Counts)};
+          telemetry::writeText(Metrics)};
 }
 
 void Daemon::serveCaller(http::Request request, const http::Respond &respond) {
@@ -209,8 +209,8 @@
     return;
   }
   useKindDeadline(config.get(), request, parsed.value().Statement);
-  ++Serving;
-  telemetry::countBytes(Counts, Link::Callers, Direction::In,
+  ++InFlight;
+  telemetry::countBytes(Metrics, Link::Callers, Direction::In,
                         request.Body.size());
   const auto &in = parsed.value();
   auto entry = in.Session.Databases.find(in.Statement.Database);
@@ -221,18 +221,19 @@
   auto span =
       Traces->startSpan(telemetry::Hop::Entry, in.Statement.Traceparent);
   routed.Request.Traceparent = span.traceparent();
-  Routes->route(
+  StatementRouter->route(
       std::move(routed), [this, in, respond, span = std::move(span),
                           begun = Time.now()](const StatementAnswer &answer) {
         auto view = Views.get(in.Statement.Database);
-        telemetry::countAnswer(Counts, in.Statement, answer, Time.now() - begun,
+        telemetry::countAnswer(Metrics, in.Statement, answer,
+                               Time.now() - begun,
                                answer.ServedBy != view.Primary);
         auto out = makeResponse(in, answer, Options.Keys);
-        telemetry::countBytes(Counts, Link::Callers, Direction::Out,
+        telemetry::countBytes(Metrics, Link::Callers, Direction::Out,
                               out.Body.size());
-        finish(span, answer, out);
+        finishEntrySpan(span, answer, out);
         respond(std::move(out));
-        --Serving;
+        --InFlight;
       });
 }
 
@@ -271,17 +272,18 @@
     respond({http::StatusBad, {}, ""});
     return;
   }
-  telemetry::countBytes(Counts, Link::Inner, Direction::In,
+  telemetry::countBytes(Metrics, Link::Inner, Direction::In,
                         request.Body.size());
   auto span =
       Traces->startSpan(telemetry::Hop::Inner, decoded.value().Traceparent);
   decoded.value().Traceparent = span.traceparent();
-  Local->execute(
+  LocalOwner->execute(
       std::move(decoded.value()), request.Gone,
       [this, respond, span = std::move(span)](const StatementAnswer &answer) {
         Traces->finishSpan(span);
         auto body = messages::encode(answer);
-        telemetry::countBytes(Counts, Link::Inner, Direction::Out, body.size());
+        telemetry::countBytes(Metrics, Link::Inner, Direction::Out,
+                              body.size());
         respond({http::StatusOk, {}, std::move(body)});
       });
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// The entry daemon: all its parts, put together.
+/// The entry daemon: creates, connects, starts and stops its components.
 
 #ifndef PERIDOTFALL_DAEMON_DAEMON_H
 #define PERIDOTFALL_DAEMON_DAEMON_H
@@ -34,27 +34,27 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Listens and begins to work. \return what is wrong, if anything.
+  /// Starts listening and all components. \return errors; empty on success.
   Findings start();
-  /// Ends in order: not ready at once, requests in flight finish.
-  /// \param limit longest wait. \return whether all finished in time.
+  /// Graceful shutdown: /readyz fails at once, requests in flight finish.
+  /// \param limit maximum wait. \return whether all finished in time.
   bool shutdown(std::chrono::milliseconds limit);
 
   std::uint16_t callerPort() const { return Callers->port(); }
   std::uint16_t innerPort() const { return Inner->port(); }
-  /// \return the revision in force; 0: none.
+  /// \return the configuration revision in force; 0: none.
   std::uint64_t revision() const {
     auto it = Config.get();
     return it ? it->Revision : 0;
   }
-  /// What it has done so far.
+  /// \return statistics since the start.
   Stats stats();
 
 private:
   http::Response metricsText();
-  /// Ends the entry's span and tells the caller of its trace.
-  void finish(telemetry::Span span, const StatementAnswer &answer,
-              http::Response &out);
+  /// Ends the entry's span and adds the traceparent to the response.
+  void finishEntrySpan(telemetry::Span span, const StatementAnswer &answer,
+                       http::Response &out);
   void serveCaller(http::Request request, const http::Respond &respond);
   void serveStatement(const http::Request &request,
                       const http::Respond &respond);
@@ -63,15 +63,15 @@
 
   const DaemonOptions Options;
   SystemClock Time;
-  telemetry::Metrics Counts = telemetry::makeMetrics();
+  telemetry::Metrics Metrics = telemetry::makeMetrics();
   http::Loops Loops;
   std::shared_ptr<telemetry::Tracer> Traces;
   ConfigurationInForce Config;
   GroupViews Views;
   Targets Apis;
   Fleet Peers;
-  std::shared_ptr<Owner> Local;
-  std::shared_ptr<Router> Routes;
+  std::shared_ptr<Owner> LocalOwner;
+  std::shared_ptr<Router> StatementRouter;
   std::shared_ptr<platform::CallCounts> PlatformCalls;
   platform::Api PlatformApi;
   std::shared_ptr<FailoverDriver> Failover;
@@ -80,7 +80,7 @@
   std::shared_ptr<http::Server> Callers;
   std::shared_ptr<http::Server> Inner;
   std::atomic<bool> Draining{false};
-  std::atomic<std::size_t> Serving{0};
+  std::atomic<std::size_t> InFlight{0};
 };
 
 } // namespace peridotfall
--- a/src/daemon/fleet.cpp
+++ b/src/daemon/fleet.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Ranks kept for a target: the owner and enough to step in.
-constexpr std::size_t MostRanks = 8;
-/// Longer than any request may run, so that no call in flight is cut. Load:
-/// comparing with random peers reaches all 1,700 daemons in an hour; kept
-/// open, their connections would be most of a small VM's memory.
-constexpr auto IdleLimit = 2 * limits::MaxDeadline;
+/// Members cached per target: the owner and enough substitutes.
+constexpr std::size_t MaxRanks = 8;
+/// Longer than any request may run, so that no call in flight is cut off. The
+/// comparison with random peers contacts all 1,700 daemons within an hour; if
+/// kept open, these connections would use most of a small VM's memory.
+constexpr auto IdleTimeout = 2 * limits::MaxDeadline;
 
 } // namespace
 
@@ -51,15 +51,16 @@
   it = {View.generation(), config.Revision,
         rankOwners(live, target.Name, target.Domain,
                    regionOf(config, target.Domain))};
-  if (it.Members.size() > MostRanks)
-    it.Members.resize(MostRanks);
+  if (it.Members.size() > MaxRanks)
+    it.Members.resize(MaxRanks);
   return it.Members;
 }
 
-void Fleet::listeningOn(std::uint16_t port) {
+void Fleet::setListenPort(std::uint16_t port) {
   auto address = Self.InnerAddress;
   auto host = address.substr(0, address.rfind(':'));
-  // Who listens on all addresses names none; others go by the list of VMs.
+  // A daemon that listens on all addresses announces none; other daemons then
+  // use its address from the list of VMs.
   bool any = host.empty() || host == "0.0.0.0" || host == "[::]";
   std::lock_guard guard(Lock);
   View.setOwnAddress(any ? "" : host + ":" + std::to_string(port));
@@ -71,7 +72,7 @@
   if (!it.Channel)
     it.Channel =
         std::make_shared<http::Channel>(Loops.next(), address, Options);
-  it.UsedAt = Time.now();
+  it.LastUse = Time.now();
   return it.Channel;
 }
 
@@ -79,7 +80,7 @@
   std::lock_guard guard(ChannelLock);
   auto now = Time.now();
   for (auto it = Channels.begin(); it != Channels.end();) {
-    if (now - it->second.UsedAt < IdleLimit) {
+    if (now - it->second.LastUse < IdleTimeout) {
       ++it;
       continue;
     }
--- a/src/daemon/fleet.h
+++ b/src/daemon/fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// The other daemons: who they are, and one connection to each.
+/// The daemons of the membership, and one connection to each.
 
 #ifndef PERIDOTFALL_DAEMON_FLEET_H
 #define PERIDOTFALL_DAEMON_FLEET_H
@@ -20,43 +20,45 @@
 
 namespace peridotfall {
 
-/// From any thread.
+/// Thread-safe.
 class Fleet {
 public:
   Fleet(http::Loops &loops, Member self, http::ChannelOptions options,
         MembershipOptions membership = {});
 
-  /// As the daemon was started; whether it leaves is in members().
+  /// State at the start; members() shows whether this daemon is leaving.
   const Member &self() const { return Self; }
-  /// \return this daemon and all it holds alive, leaving ones included.
+  /// \return this daemon and all it considers alive, including leaving ones.
   std::vector<Member> members() const;
-  /// Takes the platform's list. \return whether the live members changed.
+  /// Updates the members from the platform's list. \return whether the live
+  /// members changed.
   bool setMembers(const std::vector<Member> &members);
-  /// \return a member, also one that is suspected.
+  /// \return a member, even if it is suspected.
   std::optional<Member> find(const VmName &vm) const;
-  /// The daemons that own a target or step in, by rank, a few at most.
+  /// \return the daemon that owns a target and a few substitutes, by rank.
   std::vector<Member> ranked(const Configuration &config,
                              const TargetConfig &target) const;
-  /// Completes the own address once the daemon listens.
-  void listeningOn(std::uint16_t port);
+  /// Announces the inner address with the port that the daemon listens on.
+  void setListenPort(std::uint16_t port);
   std::shared_ptr<http::Channel> channel(const std::string &address);
-  /// Closes connections that were not asked for lately.
+  /// Closes connections that were not used recently.
   void closeIdle();
   void close();
 
-  /// Runs \p action on the membership under its lock; it must not block.
+  /// Runs \p action on the membership under the lock; it must not block.
   template <class Action> auto withMembership(Action action) {
     std::lock_guard guard(Lock);
     return action(View);
   }
 
 private:
-  struct Line {
+  struct Connection {
     std::shared_ptr<http::Channel> Channel;
-    TimePoint UsedAt;
+    TimePoint LastUse;
   };
-  /// Ranks of a target for one view and one configuration.
-  struct Ranks {
+  /// Ranked members of a target, for one membership view and one
+  /// configuration.
+  struct CachedRanks {
     std::uint64_t Generation = 0;
     std::uint64_t Revision = 0;
     std::vector<Member> Members;
@@ -68,9 +70,9 @@
   SystemClock Time;
   mutable std::mutex Lock;
   Membership View;
-  mutable std::map<TargetName, Ranks> RankCache;
+  mutable std::map<TargetName, CachedRanks> RankCache;
   std::mutex ChannelLock;
-  std::map<std::string, Line> Channels;
+  std::map<std::string, Connection> Channels;
 };
 
 } // namespace peridotfall
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -19,30 +19,33 @@
 DEFINE_string(listen_inner, "127.0.0.1:8081", "address for other daemons");
 DEFINE_string(platform, "", "address of the platform's object API");
 DEFINE_string(peers, "",
-              "inner addresses of some other daemons, ADDRESS,...; asked for "
-              "the configuration where the platform is down at the start");
+              "inner addresses of some other daemons, ADDRESS,...; the "
+              "configuration is fetched from them if the platform is down at "
+              "the start");
 DEFINE_string(token_keys, "",
-              "keys of session tokens, ID:SECRET,...; the first signs. "
-              "Better given as PERIDOTFALL_TOKEN_KEYS than on the command "
-              "line, which others can read");
-DEFINE_string(tls_cert, "", "certificate towards callers, PEM");
-DEFINE_string(tls_key, "", "its key, PEM");
+              "keys of session tokens, ID:SECRET,...; the first one signs. "
+              "Prefer PERIDOTFALL_TOKEN_KEYS: other users of the machine can "
+              "read the command line");
+DEFINE_string(tls_cert, "", "certificate presented to callers, PEM");
+DEFINE_string(tls_key, "", "key of --tls_cert, PEM");
 DEFINE_string(inner_cert, "", "certificate between daemons, PEM");
-DEFINE_string(inner_key, "", "its key, PEM");
-DEFINE_string(inner_ca, "", "authority of all daemons' certificates, PEM");
+DEFINE_string(inner_key, "", "key of --inner_cert, PEM");
+DEFINE_string(inner_ca, "",
+              "authority that signed all daemons' certificates, PEM");
 DEFINE_bool(plain_text, false,
             "listen without TLS on an address that is not loopback");
-DEFINE_uint32(threads, 2, "event loops, one a thread");
+DEFINE_uint32(threads, 2, "event loop threads");
 DEFINE_string(collector, "",
-              "address of an OTLP collector that speaks HTTP/2; empty: no "
-              "traces are sent");
+              "address of an OTLP collector with HTTP/2; empty: no traces are "
+              "sent");
 DEFINE_uint32(trace_one_in, 0,
-              "of requests without a traceparent, trace one in so many; 0: "
-              "none");
+              "trace one in this many of the requests without a traceparent; "
+              "0: none");
 DEFINE_uint32(probe_ms, 150, "milliseconds between probes of a target");
-DEFINE_uint32(shutdown_ms, 10000, "longest wait for requests in flight");
+DEFINE_uint32(shutdown_ms, 10000,
+              "maximum wait in milliseconds for requests in flight");
 DEFINE_bool(on_platform, false,
-            "run on the users' platform; the settings are then taken from the "
+            "run on the users' platform; the settings are then read from the "
             "file that the platform writes");
 DEFINE_uint32(metrics_port, 0,
               "port of the metrics on the users' platform; 0: the second "
@@ -54,7 +57,7 @@
 constexpr int ExitBadSettings = 2;
 constexpr int ExitUnfinished = 3;
 
-/// A flag that the command line leaves out is taken from the environment:
+/// Sets flags that are not on the command line from the environment, such as
 /// --listen_inner from PERIDOTFALL_LISTEN_INNER.
 void readEnvironment(peridotfall::Findings &findings) {
   std::vector<gflags::CommandLineFlagInfo> flags;
@@ -118,8 +121,8 @@
         {"--log_level", "debug, info, warning or error", FLAGS_log_level});
   else
     peridotfall::telemetry::setLevel(*level);
-  constexpr unsigned MostPort = 65'535;
-  if (FLAGS_metrics_port > MostPort)
+  constexpr unsigned MaxPort = 65'535;
+  if (FLAGS_metrics_port > MaxPort)
     findings.push_back({"metrics_port", "a port, 65535 at most",
                         std::to_string(FLAGS_metrics_port)});
   if (FLAGS_on_platform && findings.empty())
--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 void checkName(const char *flag, const std::string &value, Findings &findings) {
-  bool good = !value.empty() && value.size() <= 63 &&
-              std::all_of(value.begin(), value.end(), [](unsigned char c) {
-                return std::isalnum(c) != 0 || c == '-';
-              });
-  if (!good)
+  bool valid = !value.empty() && value.size() <= 63 &&
+               std::all_of(value.begin(), value.end(), [](unsigned char c) {
+                 return std::isalnum(c) != 0 || c == '-';
+               });
+  if (!valid)
     findings.push_back(
         {flag, "1 to 63 letters, digits or hyphens", "'" + value + "'"});
 }
@@ -23,8 +23,8 @@
 void checkAddress(const char *flag, const std::string &value,
                   Findings &findings) {
   if (!http::parseEndpoint(value))
-    findings.push_back(
-        {flag, "an IP number and port, as 10.0.0.1:8080", "'" + value + "'"});
+    findings.push_back({flag, "an IP address and port, such as 10.0.0.1:8080",
+                        "'" + value + "'"});
 }
 
 std::vector<std::string> splitList(const std::string &text) {
@@ -35,33 +35,31 @@
   return out;
 }
 
-void checkRange(const char *flag, std::uint32_t value, std::uint32_t least,
-                std::uint32_t most, Findings &findings) {
-  if (value < least || value > most)
-    findings.push_back({flag,
-                        fmt::format("a number from {} to {}", least, most),
+void checkRange(const char *flag, std::uint32_t value, std::uint32_t min,
+                std::uint32_t max, Findings &findings) {
+  if (value < min || value > max)
+    findings.push_back({flag, fmt::format("a number from {} to {}", min, max),
                         std::to_string(value)});
 }
 
-/// A certificate goes with its key, and between daemons with the authority
-/// that signed those of all others.
+/// A certificate requires its key, and between daemons also the authority that
+/// signed the other daemons' certificates.
 void checkTls(const std::string &prefix, const http::TlsFiles &files,
               bool mutual, Findings &findings) {
   if (files.empty() && files.Authority.empty())
     return;
   if (files.Certificate.empty())
-    findings.push_back({prefix + "_cert", "a file, as the key is named", ""});
+    findings.push_back({prefix + "_cert", "a file, since a key is set", ""});
   if (files.Key.empty())
     findings.push_back(
-        {prefix + "_key", "a file, as the certificate is named", ""});
+        {prefix + "_key", "a file, since a certificate is set", ""});
   if (mutual && files.Authority.empty())
     findings.push_back(
         {prefix + "_ca", "the authority of the daemons' certificates", ""});
 }
 
-/// Failure: a listener on a real network without TLS. Symptom: tokens and
-/// rows can be read and changed on the way. Outside loopback plain text is
-/// therefore never a default, only a choice that was said outright.
+/// Without TLS, tokens and rows can be read and changed on the network. Plain
+/// text outside loopback therefore has to be enabled explicitly.
 void checkPlainText(const char *flag, const std::string &address,
                     const http::TlsFiles &files, bool plainText,
                     Findings &findings) {
@@ -75,8 +73,8 @@
 } // namespace
 
 Parsed<DaemonOptions> parseOptions(const DaemonSettings &settings) {
-  constexpr std::uint32_t MostThreads = 256;
-  constexpr std::uint32_t MostProbeMs = 10'000;
+  constexpr std::uint32_t MaxThreads = 256;
+  constexpr std::uint32_t MaxProbeMs = 10'000;
   Findings findings;
   checkName("--vm", settings.Vm, findings);
   checkName("--domain", settings.Domain, findings);
@@ -86,10 +84,10 @@
   checkAddress("--platform", settings.Platform, findings);
   for (const auto &it : splitList(settings.Peers))
     checkAddress("--peers", it, findings);
-  checkRange("--threads", settings.Threads, 1, MostThreads, findings);
+  checkRange("--threads", settings.Threads, 1, MaxThreads, findings);
   if (!settings.Collector.empty())
     checkAddress("--collector", settings.Collector, findings);
-  checkRange("--probe_ms", settings.ProbeMs, 10, MostProbeMs, findings);
+  checkRange("--probe_ms", settings.ProbeMs, 10, MaxProbeMs, findings);
   checkTls("--tls", settings.CallerTls, false, findings);
   checkTls("--inner", settings.InnerTls, true, findings);
   checkPlainText("--listen", settings.ListenCallers, settings.CallerTls,
@@ -126,21 +124,20 @@
 Parsed<DaemonTls> loadTls(const DaemonOptions &options) {
   DaemonTls out;
   Findings findings;
-  auto take = [&](const char *flag, http::TlsContext &context,
-                  const Result<http::TlsContext> &loaded) {
+  auto store = [&](const char *flag, http::TlsContext &context,
+                   const Result<http::TlsContext> &loaded) {
     if (loaded)
       context = loaded.value();
     else
-      findings.push_back(
-          {flag, "files in PEM form that match", loaded.error().Message});
+      findings.push_back({flag, "matching PEM files", loaded.error().Message});
   };
   if (!options.CallerTls.empty())
-    take("--tls_cert", out.Callers, http::makeServerTls(options.CallerTls));
+    store("--tls_cert", out.Callers, http::makeServerTls(options.CallerTls));
   if (!options.InnerTls.empty()) {
-    take("--inner_cert", out.InnerServer,
-         http::makeServerTls(options.InnerTls));
-    take("--inner_cert", out.InnerClient,
-         http::makeClientTls(options.InnerTls));
+    store("--inner_cert", out.InnerServer,
+          http::makeServerTls(options.InnerTls));
+    store("--inner_cert", out.InnerClient,
+          http::makeClientTls(options.InnerTls));
   }
   if (!findings.empty())
     return findings;
--- a/src/daemon/options.h
+++ b/src/daemon/options.h
@@ -16,7 +16,7 @@
 
 namespace peridotfall {
 
-/// Plain settings as texts and numbers, not yet checked.
+/// Settings as strings and numbers, not yet validated.
 struct DaemonSettings {
   std::string Vm;
   std::string Domain;
@@ -28,44 +28,45 @@
   std::string TokenKeys;
   http::TlsFiles CallerTls;
   http::TlsFiles InnerTls;
-  bool PlainText = false; ///< Said outright; else only on loopback.
+  bool PlainText = false; ///< Allows plain text outside loopback.
   std::uint32_t Threads = 2;
   std::uint32_t ProbeMs = 150;
-  std::string Collector; ///< Of traces; empty: none.
+  std::string Collector; ///< Trace collector; empty: none.
   std::uint32_t TraceOneIn = 0;
 
   auto operator<=>(const DaemonSettings &) const = default;
 };
 
-/// Checked settings; what the daemon starts with.
+/// Validated settings that the daemon starts with.
 struct DaemonOptions {
   Member Self;
   std::string ListenCallers = "127.0.0.1:0";
   std::string ListenInner = "127.0.0.1:0";
   std::string Platform;
-  std::vector<std::string> Peers; ///< Asked where the platform is down.
+  /// Sources of the configuration until one is in force.
+  std::vector<std::string> Peers;
   TokenKeys Keys;
   http::TlsFiles CallerTls; ///< Empty: plain text.
-  http::TlsFiles InnerTls;  ///< Empty: plain text. Else mutual.
+  http::TlsFiles InnerTls;  ///< Empty: plain text. Else mutual TLS.
   unsigned Threads = 2;
   std::chrono::milliseconds ProbeInterval{150};
-  std::string Collector;        ///< Of traces; empty: none.
-  std::uint32_t TraceOneIn = 0; ///< Requests sampled here: one in so many.
+  std::string Collector;        ///< Trace collector; empty: none.
+  std::uint32_t TraceOneIn = 0; ///< Requests per sampled trace; 0: none.
 
   auto operator<=>(const DaemonOptions &) const = default;
 };
 
-/// \return the options, or all findings; a place is the flag's name.
+/// \return the options, or all findings; a finding's Place is the flag's name.
 Parsed<DaemonOptions> parseOptions(const DaemonSettings &settings);
 
-/// TLS contexts made of the files that the options name; null: plain text.
+/// TLS contexts of the configured files; null: plain text.
 struct DaemonTls {
   http::TlsContext Callers;
   http::TlsContext InnerServer;
   http::TlsContext InnerClient;
 };
 
-/// Reads the files. \return the contexts, or all findings.
+/// Loads the TLS files. \return the contexts, or all findings.
 Parsed<DaemonTls> loadTls(const DaemonOptions &options);
 
 } // namespace peridotfall
--- a/src/daemon/platform_sync.cpp
+++ b/src/daemon/platform_sync.cpp
@@ -15,17 +15,19 @@
 using telemetry::field;
 
 constexpr milliseconds TickPeriod{100};
-/// Between two looks at who watches: it costs a pass over all members.
-constexpr milliseconds RolePeriod{500};
-constexpr milliseconds WatchWait{10'000};
-/// A leaving VM gets no new work within 3 s of being listed; two watchers of a
-/// domain list at different times, and passing it on takes a few hundred ms.
+/// Between two checks whether this daemon is a watcher: each is a pass over
+/// all members.
+constexpr milliseconds RoleCheckPeriod{500};
+constexpr milliseconds WatchTimeout{10'000};
+/// A leaving VM must get no new work 3 s after it is listed as leaving. The two
+/// watchers of a domain list at different times, and forwarding the list takes
+/// a few hundred milliseconds.
 constexpr milliseconds ListPeriod{2'500};
-/// Between calls while the platform fails. Only the watchers call, two a
-/// failure domain, so a second is little for a platform that is coming back,
-/// and it bounds how late its return is noticed. The budget of calls holds
-/// where many daemons believe themselves to be watchers.
-constexpr milliseconds FailingPause{1'000};
+/// Between calls while the platform fails; limits how late its recovery is
+/// noticed. Only the watchers call, two per failure domain, which is a light
+/// load for a recovering platform. If many daemons assume that they are
+/// watchers, the call budget still limits the calls.
+constexpr milliseconds FailingCallPeriod{1'000};
 
 } // namespace
 
@@ -56,12 +58,12 @@
   if (Stopped)
     return;
   auto now = Time.now();
-  if (now >= NextRole) {
-    NextRole = now + RolePeriod;
-    Watcher = isWatcher(Peers.members(), Peers.self());
+  if (now >= NextRoleCheck) {
+    NextRoleCheck = now + RoleCheckPeriod;
+    IsWatcher = isWatcher(Peers.members(), Peers.self());
   }
-  if (Watcher) {
-    if (!Watching && now >= NextWatch)
+  if (IsWatcher) {
+    if (!WatchPending && now >= NextWatch)
       watch();
     if (now >= NextList)
       listVms();
@@ -74,21 +76,22 @@
 }
 
 void PlatformSync::watch() {
-  Watching = true;
-  Api.Watch(platform::ConfigurationKey, Version, WatchWait,
+  WatchPending = true;
+  Api.Watch(platform::ConfigurationKey, Version, WatchTimeout,
             [self = shared_from_this(),
              attempt = ++Attempt](const Result<platform::Object> &it) {
-              asio::post(self->Loop,
-                         [self, attempt, it] { self->watched(attempt, it); });
+              asio::post(self->Loop, [self, attempt, it] {
+                self->handleWatchAnswer(attempt, it);
+              });
             });
 }
 
-void PlatformSync::watched(std::uint64_t attempt,
-                           const Result<platform::Object> &it) {
+void PlatformSync::handleWatchAnswer(std::uint64_t attempt,
+                                     const Result<platform::Object> &it) {
   if (it) {
     auto parsed = parseConfiguration(it.value().Value);
     if (parsed)
-      offer(std::move(parsed.value()));
+      relayConfiguration(std::move(parsed.value()));
     else
       telemetry::log(
           Event::ConfigurationRejected,
@@ -98,31 +101,31 @@
   }
   if (attempt != Attempt)
     return;
-  Watching = false;
+  WatchPending = false;
   if (it) {
-    answered("watch", parseConfiguration(it.value().Value)
-                          ? ""
-                          : "the stored configuration cannot be read");
+    handleAnswer("watch", parseConfiguration(it.value().Value)
+                              ? ""
+                              : "the stored configuration cannot be read");
     return;
   }
   bool none = it.error().Code == ErrorCode::NotFound;
-  answered("watch", none ? "" : it.error().Message);
+  handleAnswer("watch", none ? "" : it.error().Message);
   if (none) {
     std::lock_guard guard(AnswerLock);
     LastAnswer = "no configuration has been applied";
   }
-  NextWatch = Time.now() + FailingPause;
+  NextWatch = Time.now() + FailingCallPeriod;
 }
 
-void PlatformSync::offer(Configuration config) {
-  if (std::exchange(Begun, true)) {
+void PlatformSync::relayConfiguration(Configuration config) {
+  if (std::exchange(ConfigurationRead, true)) {
     Relay->offerConfiguration(std::move(config));
     return;
   }
-  // Failure: a new daemon has the configuration and no list of VMs yet.
-  // Symptom: alone in its view, it owns targets that another owns already.
-  // Reading the list before its first configuration is in force suffices;
-  // where that fails it goes on, as the platform's outage must not stop it.
+  // A new daemon with a configuration but no list of VMs is the only member in
+  // its view and would own targets that another daemon already owns. The list
+  // is therefore read before the first configuration is in force. If that
+  // fails, the daemon continues: a platform outage must not stop it.
   Api.ListVms([self = shared_from_this(), config = std::move(config)](
                   const Result<std::vector<Member>> &it) {
     if (it)
@@ -132,33 +135,33 @@
 }
 
 void PlatformSync::listVms() {
-  NextList = Time.now() + (Failing ? FailingPause : ListPeriod);
+  NextList = Time.now() + (Failing ? FailingCallPeriod : ListPeriod);
   Api.ListVms(
       [self = shared_from_this()](const Result<std::vector<Member>> &it) {
         asio::post(self->Loop, [self, it] {
           if (it)
             self->Relay->offerList(it.value());
-          self->answered("list", it ? "" : it.error().Message);
+          self->handleAnswer("list", it ? "" : it.error().Message);
         });
       });
 }
 
-void PlatformSync::answered(const char *call, const std::string &error) {
+void PlatformSync::handleAnswer(const char *call, const std::string &error) {
   bool recovered = error.empty() && Failing;
-  bool lost = !error.empty() && !Failing;
+  bool newlyFailed = !error.empty() && !Failing;
   Failing = !error.empty();
-  if (lost)
+  if (newlyFailed)
     telemetry::log(Event::PlatformUnavailable,
                    {field("call", call), field("error", error)});
-  // Failure: a watch was sent while the platform was away. Symptom: it hangs
-  // for its whole wait, and a change accepted meanwhile is learnt late. The
-  // first answer of another call tells that a new watch will be heard.
-  if (recovered && Watching) {
-    Watching = false;
+  // A watch sent while the platform was down hangs until its timeout, and a
+  // change made meanwhile would be seen late. The first answer to another call
+  // shows that the platform is available again, so a new watch is sent.
+  if (recovered && WatchPending) {
+    WatchPending = false;
     NextWatch = {};
   }
   if (Failing)
-    NextList = std::min(NextList, Time.now() + FailingPause);
+    NextList = std::min(NextList, Time.now() + FailingCallPeriod);
   if (Failing || recovered) {
     std::lock_guard guard(AnswerLock);
     LastAnswer = Failing ? error : "answers";
--- a/src/daemon/platform_sync.h
+++ b/src/daemon/platform_sync.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads the configuration and the list of VMs from the platform, where this
-/// daemon is one of those that do so for its failure domain.
+/// Reads the configuration and the list of VMs from the platform, if this
+/// daemon is one of its failure domain's watchers.
 
 #ifndef PERIDOTFALL_DAEMON_PLATFORM_SYNC_H
 #define PERIDOTFALL_DAEMON_PLATFORM_SYNC_H
@@ -17,8 +17,8 @@
 
 namespace peridotfall {
 
-/// Its state is confined to one loop. A new daemon knows no others, so that it
-/// is a watcher in its own view until it has the list of VMs.
+/// All state is confined to one event loop. A new daemon knows no other
+/// members and is therefore a watcher until it has the list of VMs.
 class PlatformSync : public std::enable_shared_from_this<PlatformSync> {
 public:
   PlatformSync(asio::io_context &loop, const Clock &clock, platform::Api api,
@@ -26,16 +26,17 @@
 
   void start();
   void stop();
-  /// \return what the platform last answered, for /readyz.
+  /// \return the platform's last answer or error, for /readyz.
   std::string lastAnswer() const;
 
 private:
   void tick();
   void watch();
-  void watched(std::uint64_t attempt, const Result<platform::Object> &it);
-  void offer(Configuration config);
+  void handleWatchAnswer(std::uint64_t attempt,
+                         const Result<platform::Object> &it);
+  void relayConfiguration(Configuration config);
   void listVms();
-  void answered(const char *call, const std::string &error);
+  void handleAnswer(const char *call, const std::string &error);
 
   asio::io_context &Loop;
   asio::steady_timer Timer;
@@ -44,17 +45,17 @@
   std::shared_ptr<ConfigurationRelay> Relay;
   Fleet &Peers;
   bool Stopped = false;
-  bool Failing = false; ///< The last answer was a failure.
+  bool Failing = false; ///< The last call failed.
   std::uint64_t Version = 0;
-  std::uint64_t Attempt = 0; ///< Of the watch; answers to older ones are late.
-  bool Begun = false;        ///< A configuration was read.
-  bool Watcher = true;
-  bool Watching = false;
-  TimePoint NextRole{};
+  std::uint64_t Attempt = 0; ///< Of the current watch; older answers are late.
+  bool ConfigurationRead = false;
+  bool IsWatcher = true;
+  bool WatchPending = false;
+  TimePoint NextRoleCheck{};
   TimePoint NextWatch{};
   TimePoint NextList{};
   mutable std::mutex AnswerLock;
-  std::string LastAnswer = "not asked yet";
+  std::string LastAnswer = "no answer yet";
 };
 
 } // namespace peridotfall
--- a/src/daemon/status.h
+++ b/src/daemon/status.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a daemon knows, as JSON for operators.
+/// The daemon's state as JSON for operators.
 
 #ifndef PERIDOTFALL_DAEMON_STATUS_H
 #define PERIDOTFALL_DAEMON_STATUS_H
@@ -14,11 +14,11 @@
 
 namespace peridotfall {
 
-/// GET, on the inner address.
+/// Served for GET on the inner address.
 inline constexpr auto StatusPath = "/status";
 
 struct StatusSource {
-  std::shared_ptr<const Configuration> Config; ///< May be null.
+  std::shared_ptr<const Configuration> Config; ///< Null: none in force.
   Fleet &Peers;
   const GroupViews &Views;
   const platform::CallCounts &Calls;
--- a/src/daemon/views.cpp
+++ b/src/daemon/views.cpp
@@ -3,12 +3,12 @@
 namespace peridotfall {
 
 GroupViews::Shard &GroupViews::shardOf(const DatabaseName &database) {
-  return Shards[std::hash<DatabaseName>{}(database) % Count];
+  return Shards[std::hash<DatabaseName>{}(database) % ShardCount];
 }
 
 const GroupViews::Shard &
 GroupViews::shardOf(const DatabaseName &database) const {
-  return Shards[std::hash<DatabaseName>{}(database) % Count];
+  return Shards[std::hash<DatabaseName>{}(database) % ShardCount];
 }
 
 GroupView GroupViews::get(const DatabaseName &database) const {
@@ -32,14 +32,14 @@
 void GroupViews::holdWrites(const DatabaseName &database, TimePoint until) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
-  shard.Groups[database].HeldUntil = until;
+  shard.Groups[database].WritesHeldUntil = until;
 }
 
 bool GroupViews::writesHeld(const DatabaseName &database, TimePoint now) const {
   const auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
   auto it = shard.Groups.find(database);
-  return it != shard.Groups.end() && it->second.HeldUntil > now;
+  return it != shard.Groups.end() && it->second.WritesHeldUntil > now;
 }
 
 bool GroupViews::learnStatus(const DatabaseName &database,
@@ -52,8 +52,9 @@
   if (!view.Reachable)
     return false;
   it = view;
-  bool leads = view.Last.IsPrimary && view.Last.CurrentTerm >= group.InTerm;
-  if (!leads)
+  bool isCurrentPrimary =
+      view.Last.IsPrimary && view.Last.CurrentTerm >= group.InTerm;
+  if (!isCurrentPrimary)
     return false;
   bool changed = group.Primary != target;
   group.InTerm = view.Last.CurrentTerm;
--- a/src/daemon/views.h
+++ b/src/daemon/views.h
@@ -1,6 +1,6 @@
 /// \file
-/// What this daemon knows of each database group, from its own probes and
-/// from the answers of others.
+/// Cached state of each database group, from this daemon's probes and from
+/// the answers of other daemons.
 
 #ifndef PERIDOTFALL_DAEMON_VIEWS_H
 #define PERIDOTFALL_DAEMON_VIEWS_H
@@ -23,22 +23,22 @@
 
 struct GroupView {
   Term InTerm = 0;
-  TargetName Primary;  ///< Empty: not known.
-  TimePoint HeldUntil; ///< Writes are held, for a planned hand-over.
+  TargetName Primary;        ///< Empty: unknown.
+  TimePoint WritesHeldUntil; ///< Writes wait during a planned hand-over.
   std::map<TargetName, TargetView> Targets;
 };
 
-/// Shards, each under its lock.
+/// Thread-safe; sharded, with one lock per shard.
 class GroupViews {
 public:
   GroupView get(const DatabaseName &database) const;
-  /// Takes a hint of another daemon; one of a lower term is ignored.
+  /// Applies another daemon's hint; ignored if its term is lower.
   void learnPrimary(const DatabaseName &database, Term term,
                     const TargetName &primary);
-  /// Holds writes until then. A time that has passed: no longer.
+  /// Holds writes until \p until; a time in the past releases them.
   void holdWrites(const DatabaseName &database, TimePoint until);
   bool writesHeld(const DatabaseName &database, TimePoint now) const;
-  /// Takes a probe's answer. \return whether the primary changed by it.
+  /// Applies a probe's answer. \return whether it changed the primary.
   bool learnStatus(const DatabaseName &database, const TargetName &target,
                    const TargetView &view);
 
@@ -47,11 +47,11 @@
     mutable std::mutex Lock;
     std::map<DatabaseName, GroupView> Groups;
   };
-  static constexpr std::size_t Count = 16;
+  static constexpr std::size_t ShardCount = 16;
   Shard &shardOf(const DatabaseName &database);
   const Shard &shardOf(const DatabaseName &database) const;
 
-  std::array<Shard, Count> Shards;
+  std::array<Shard, ShardCount> Shards;
 };
 
 } // namespace peridotfall
--- a/tests/daemon/caller_api_test.cpp
+++ b/tests/daemon/caller_api_test.cpp
@@ -32,7 +32,7 @@
     return parseCallerRequest(it, &Config, Keys);
   }
 
-  /// \return places of the findings, in order.
+  /// \return the Place of each finding, in order.
   std::vector<std::string> findings(const http::Request &it) const {
     auto parsed = parse(it);
     std::vector<std::string> out;
@@ -52,15 +52,17 @@
 } // namespace
 
 TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, of a known kind, takes its answers") {
+                  "caller request, of a known kind, has the kind's access mode "
+                  "and age limit") {
   auto it = parse(request(R"({"kind":"catalogue","sql":"SELECT 1"})"));
   REQUIRE(it);
   CHECK((it.value().Statement.Mode == Access::StaleRead));
   CHECK(it.value().Statement.MaxAge == std::chrono::seconds(5));
 }
 
-TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, values of all kinds, keeps them whole") {
+TEST_CASE_FIXTURE(
+    CallerApiFixture,
+    "caller request, parameters of all types, keeps their values") {
   auto it = parse(request(
       R"({"kind":"place-order","sql":"x","params":
          [null, 9223372036854775807, -9223372036854775808, 0.1,
@@ -76,7 +78,7 @@
 }
 
 TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, several faults, reports all with places") {
+                  "caller request, several errors, reports all with places") {
   auto it = request(R"({"kind":"unheard-of","params":[18446744073709551615]})");
   it.Fields = {{DeadlineHeader, "-5"}, {SessionHeader, "v1.k1.x.y"}};
   CHECK(findings(it) ==
@@ -84,14 +86,15 @@
 }
 
 TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, malformed JSON, is refused") {
+                  "caller request, malformed JSON, is rejected") {
   for (const auto *body : {"", "{", "[]", "{\"a\":1}{}", "\xff", "null",
                            R"({"sql":"a","sql":"b","kind":"place-order"})"})
     CHECK_FALSE(parse(request(body)));
 }
 
-TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, an unknown database, is named as such") {
+TEST_CASE_FIXTURE(
+    CallerApiFixture,
+    "caller request, an unknown database, is rejected as not found") {
   auto it = request(Good);
   it.Path = "/v1/databases/ledgers/statements";
   auto parsed = parse(it);
@@ -100,9 +103,10 @@
   CHECK((parsed.error().Code == AnswerCode::UnknownDatabase));
 }
 
-TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller request, before any configuration, says not run and "
-                  "when to come back") {
+TEST_CASE_FIXTURE(
+    CallerApiFixture,
+    "caller request, before any configuration, is answered not-run "
+    "with retry-after") {
   auto parsed = parseCallerRequest(request(Good), nullptr, Keys);
   REQUIRE_FALSE(parsed);
   auto response = makeResponse(parsed.error());
@@ -112,11 +116,11 @@
 }
 
 TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller response, a write of unknown outcome, keeps the "
-                  "session with the primary") {
-  // The answer to a write was lost. The caller sees "unknown" and reads
-  // next; no replica's position proves that the write is seen there, so the
-  // token must send the read to the primary.
+                  "caller response, a write of unknown outcome, sends the "
+                  "session's reads to the primary") {
+  // The answer to a write is lost and its outcome is unknown. No replica's
+  // position proves that it contains the write, so the session token must
+  // route the caller's next read to the primary.
   auto it = request(Good);
   it.Fields = {{KeyHeader, "key-1"}};
   auto parsed = parse(it);
@@ -132,8 +136,8 @@
 }
 
 TEST_CASE_FIXTURE(CallerApiFixture,
-                  "caller response, refused by admission, says when to come "
-                  "back in whole seconds") {
+                  "caller response, rejected by admission, has retry-after in "
+                  "whole seconds") {
   auto parsed = parse(request(Good));
   auto answer = notRun(parsed.value().Statement, AnswerCode::Overloaded, "full",
                        std::chrono::milliseconds(1'200));
--- a/tests/daemon/options_test.cpp
+++ b/tests/daemon/options_test.cpp
@@ -33,12 +33,12 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(OptionsFixture, "options, all good, are taken") {
+TEST_CASE_FIXTURE(OptionsFixture, "options, all valid, are accepted") {
   CHECK(places().empty());
 }
 
 TEST_CASE_FIXTURE(OptionsFixture,
-                  "options, several faults, are reported together") {
+                  "options, several errors, are reported together") {
   Settings.Vm = "press 1";
   Settings.Platform = "platform.example:80";
   Settings.Threads = 0;
@@ -49,7 +49,7 @@
 
 TEST_CASE_FIXTURE(OptionsFixture,
                   "options, a listener outside loopback without TLS, is "
-                  "refused") {
+                  "rejected") {
   Settings.ListenCallers = "0.0.0.0:8080";
   CHECK(places() == Places{"--listen"});
   Settings.PlainText = true;
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE_FIXTURE(OptionsFixture,
-                  "options, a certificate without its key, is refused") {
+                  "options, a certificate without its key, is rejected") {
   Settings.InnerTls.Certificate = "cert.pem";
   CHECK(places() == Places{"--inner_key", "--inner_ca"});
 }
