--- a/fuzz/entries_fuzz.cpp
+++ b/fuzz/entries_fuzz.cpp
@@ -15,6 +15,8 @@
     require(adapter::parseDaemon(
                 {"name", adapter::formatDaemon(it.value()), 1, false})
                 .has_value());
-  if (auto it = adapter::parseDuty(bytes))
-    require(adapter::parseDuty(adapter::formatDuty(it.value())).has_value());
+  if (auto it = adapter::parseLeadershipRecord(bytes))
+    require(adapter::parseLeadershipRecord(
+                adapter::formatLeadershipRecord(it.value()))
+                .has_value());
 }
--- a/fuzz/target_wire_fuzz.cpp
+++ b/fuzz/target_wire_fuzz.cpp
@@ -12,7 +12,7 @@
   adapter::AnswerReader reader;
   for (std::string line; std::getline(in, line);) {
     adapter::parseRejection(line);
-    auto it = reader.take(line);
+    auto it = reader.readLine(line);
     if (!it)
       return;
     if (!it.value())
--- a/tests/adapter/entries_test.cpp
+++ b/tests/adapter/entries_test.cpp
@@ -17,11 +17,11 @@
         "version":"v1","slots":2,"state":"ready","cold_ms":0,
         "db_role":"replica","sequence":4,"born":1776000000123})";
 
-proxy::StoredObject object(std::string spec) {
+proxy::StoredObject makeObject(std::string spec) {
   return {"i-7f3a91c2", std::move(spec), 12, false};
 }
 
-std::string with(const char *from, const char *to) {
+std::string entryWith(const char *from, const char *to) {
   std::string out = Entry;
   out.replace(out.find(from), std::string(from).size(), to);
   return out;
@@ -29,8 +29,8 @@
 
 } // namespace
 
-TEST_CASE("target's entry, whole, is decoded") {
-  auto it = parseTarget(object(Entry), Regions);
+TEST_CASE("target entry, complete, is decoded") {
+  auto it = parseTarget(makeObject(Entry), Regions);
   REQUIRE(it);
   CHECK(it.value().Name.Value == "i-7f3a91c2");
   CHECK(it.value().Group.Value == "huvo11a");
@@ -41,27 +41,30 @@
   CHECK_FALSE(it.value().ClaimsPrimary);
 }
 
-TEST_CASE("target's entry, draining primary, is leaving and claims to lead") {
-  auto spec = with("\"ready\"", "\"draining\"");
+TEST_CASE(
+    "target entry, draining primary, is leaving and claims to be primary") {
+  auto spec = entryWith("\"ready\"", "\"draining\"");
   spec.replace(spec.find("\"replica\""), 9, "\"primary\"");
-  auto it = parseTarget(object(spec), Regions);
+  auto it = parseTarget(makeObject(spec), Regions);
   REQUIRE(it);
   CHECK(it.value().Leaving);
   CHECK(it.value().ClaimsPrimary);
 }
 
-TEST_CASE("target's entry, damaged, names no target") {
+TEST_CASE("target entry, malformed, is rejected") {
   for (const auto &it :
        {std::string("not json"), std::string("[]"), std::string("null"),
-        with("\"huvo11a\"", "7"), with("10.128.0.9:8080", "nowhere"),
-        with("\"ready\"", "\"resting\""), with("\"replica\"", "\"witness\""),
-        with("1776000000123", "\"early\""), with("\"zone\"", "\"place\"")}) {
+        entryWith("\"huvo11a\"", "7"), entryWith("10.128.0.9:8080", "nowhere"),
+        entryWith("\"ready\"", "\"resting\""),
+        entryWith("\"replica\"", "\"witness\""),
+        entryWith("1776000000123", "\"early\""),
+        entryWith("\"zone\"", "\"place\"")}) {
     CAPTURE(it);
-    CHECK_FALSE(parseTarget(object(it), Regions));
+    CHECK_FALSE(parseTarget(makeObject(it), Regions));
   }
 }
 
-TEST_CASE("configuration, whole, is decoded") {
+TEST_CASE("configuration, complete, is decoded") {
   auto it = parseRoutingTable(
       R"({"version":7,"routes":[{"name":"r","host":"fiti","path_prefix":"/",
           "type":"read_your_writes","timeout_ms":800,"latency_goal_ms":500,
@@ -80,7 +83,7 @@
   CHECK(it.value().TransactionIdle == milliseconds(2'000));
 }
 
-TEST_CASE("configuration, without a version or with a bad route, is refused") {
+TEST_CASE("configuration, without a version or with a bad route, is rejected") {
   CHECK_FALSE(parseRoutingTable(R"({"routes":[],"services":[]})"));
   CHECK_FALSE(parseRoutingTable(
       R"({"version":1,"routes":[{"host":"a"}],"services":[]})"));
@@ -89,10 +92,11 @@
           "type":"whenever"}]})"));
 }
 
-TEST_CASE("duty record and daemon, written, are read back") {
+TEST_CASE("leadership record and daemon, formatted, are parsed back") {
   proxy::DutyRecord record{VmName("vm"), 7, 65, 129};
-  CHECK(parseDuty(formatDuty(record)).value() == record);
-  CHECK_FALSE(parseDuty("{}"));
+  CHECK(parseLeadershipRecord(formatLeadershipRecord(record)).value() ==
+        record);
+  CHECK_FALSE(parseLeadershipRecord("{}"));
   Member member;
   member.Vm = VmName("vm");
   member.Domain = DomainName("press");
--- a/tests/adapter/http_client_test.cpp
+++ b/tests/adapter/http_client_test.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Answers each call, until the connections that it has fall silent.
-class Server {
+/// Answers each request, except on connections that were silenced.
+class TestServer {
 public:
-  explicit Server(asio::io_context &loop)
+  explicit TestServer(asio::io_context &loop)
       : Acceptor(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     accept();
   }
@@ -73,17 +73,17 @@
 
 struct HttpClientFixture {
   asio::io_context Loop;
-  Server There{Loop};
-  HttpClient Client{Loop, There.endpoint()};
+  TestServer Server{Loop};
+  HttpClient Client{Loop, Server.endpoint()};
   std::vector<int> Statuses;
 
-  void call(milliseconds limit) {
-    HttpCall it;
+  void send(milliseconds timeout) {
+    HttpRequest it;
     it.Method = "GET";
     it.Target = "/";
-    it.Limit = limit;
-    Client.call(std::move(it), [this](const HttpAnswer &answer) {
-      Statuses.push_back(answer.Status);
+    it.Timeout = timeout;
+    Client.send(std::move(it), [this](const HttpResponse &response) {
+      Statuses.push_back(response.Status);
     });
   }
   void runUntilAnswers(std::size_t n) {
@@ -94,28 +94,31 @@
 
 } // namespace
 
-// Guards against calls that wait in turn on kept connections that are silent.
-TEST_CASE_FIXTURE(HttpClientFixture,
-                  "call not answered, the next one takes a new connection") {
+// Guards against requests that time out one after the other on idle connections
+// that the same network fault has broken.
+TEST_CASE_FIXTURE(
+    HttpClientFixture,
+    "request without a response, the next one opens a new connection") {
   constexpr milliseconds Long{5'000};
   constexpr milliseconds Short{100};
-  call(Long);
-  call(Long);
-  call(Long);
+  send(Long);
+  send(Long);
+  send(Long);
   runUntilAnswers(3);
-  REQUIRE(There.accepted() == 3);
-  There.silenceOpenConnections();
-  call(Short);
+  REQUIRE(Server.accepted() == 3);
+  Server.silenceOpenConnections();
+  send(Short);
   runUntilAnswers(4);
   CHECK(Statuses.back() == 0);
-  call(Short);
+  send(Short);
   runUntilAnswers(5);
   CHECK(Statuses.back() == 200);
 }
 
-// Guards against a limit that is over as its call is answered, and ends the
-// next call on the connection.
-TEST_CASE("answer and limit at one moment, the next call is answered") {
+// Guards against a timeout that expires while the response arrives, and whose
+// queued handler then aborts the next request on the connection.
+TEST_CASE(
+    "response and timeout at the same time, the next request is answered") {
   constexpr milliseconds Short{300};
   constexpr milliseconds Long{5'000};
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -125,17 +128,17 @@
                          tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   HttpClient client(loop, acceptor.local_endpoint());
   std::vector<int> statuses;
-  HttpCall second{"GET", "/", {}, "", Long};
-  client.call({"GET", "/", {}, "", Short}, [&](const HttpAnswer &first) {
+  HttpRequest second{"GET", "/", {}, "", Long};
+  client.send({"GET", "/", {}, "", Short}, [&](const HttpResponse &first) {
     statuses.push_back(first.Status);
-    client.call(second,
-                [&](const HttpAnswer &it) { statuses.push_back(it.Status); });
+    client.send(second,
+                [&](const HttpResponse &it) { statuses.push_back(it.Status); });
   });
   loop.run_one();
   auto socket = acceptor.accept();
   while (socket.available() == 0)
     loop.poll();
-  loop.poll(); // The answer is waited for from here on.
+  loop.poll(); // The client reads the response from here on.
   asio::write(socket, asio::buffer(ok));
   std::this_thread::sleep_for(2 * Short);
   while (statuses.empty())
@@ -151,7 +154,7 @@
 
 namespace {
 
-/// Answers one call with a large body, on a thread of its own.
+/// Answers one request with a large body, on its own thread.
 struct LargeAnswerServer {
   static constexpr std::size_t BodyBytes = 128 << 10;
 
@@ -161,7 +164,7 @@
           auto socket = Acceptor.accept();
           std::string in;
           asio::read_until(socket, asio::dynamic_buffer(in), "\r\n\r\n");
-          std::error_code ignored; // The client may give up.
+          std::error_code ignored; // The client may close the connection.
           asio::write(socket,
                       asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " +
                                    std::to_string(BodyBytes) + "\r\n\r\n" +
@@ -175,36 +178,37 @@
   std::thread Thread;
 };
 
-HttpAnswer callSlowly(peridotfall::testing::RelayOptions options,
-                      milliseconds limit) {
+HttpResponse requestOverSlowLink(peridotfall::testing::RelayOptions options,
+                                 milliseconds timeout) {
   LargeAnswerServer server;
   peridotfall::testing::SlowRelay relay(server.Acceptor.local_endpoint().port(),
                                         options);
   asio::io_context loop;
   HttpClient client(loop, {asio::ip::address_v4::loopback(), relay.port()});
-  HttpCall call{"GET", "/", {}, "", limit, true};
-  HttpAnswer out;
-  client.call(call, [&](const HttpAnswer &it) { out = it; });
+  HttpRequest request{"GET", "/", {}, "", timeout, true};
+  HttpResponse out;
+  client.send(request, [&](const HttpResponse &it) { out = it; });
   loop.run();
   return out;
 }
 
 } // namespace
 
-// Guards against an answer on its way that is taken for silence.
-TEST_CASE("large answer of the store on a slow link, is received whole") {
-  auto it = callSlowly({}, milliseconds(300));
+// Guards against a timeout while a large response is still being received.
+TEST_CASE("large response on a slow link, is received completely") {
+  auto it = requestOverSlowLink({}, milliseconds(300));
   CHECK(it.Status == 200);
   CHECK(it.Body.size() == LargeAnswerServer::BodyBytes);
 }
 
-// Guards against a connection that falls silent in the middle of an answer.
-TEST_CASE("large answer of the store that stalls, is given up before the limit "
-          "of its beginning") {
-  constexpr milliseconds Begin{20'000};
+// Guards against a connection that stalls in the middle of a response and is
+// noticed only after the much longer timeout to the first byte.
+TEST_CASE("large response that stalls, times out before the timeout to the "
+          "first byte") {
+  constexpr milliseconds FirstByteTimeout{20'000};
   auto began = std::chrono::steady_clock::now();
-  auto it = callSlowly({.StallAfter = 16 << 10}, Begin);
+  auto it = requestOverSlowLink({.StallAfter = 16 << 10}, FirstByteTimeout);
   CHECK(it.Status == 0);
   CHECK(it.Received.Bytes > 0);
-  CHECK(std::chrono::steady_clock::now() - began < Begin);
+  CHECK(std::chrono::steady_clock::now() - began < FirstByteTimeout);
 }
--- a/tests/adapter/line_stream_test.cpp
+++ b/tests/adapter/line_stream_test.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 
-/// A stream under test, and the other side as a plain socket.
+/// A stream under test, with a plain socket as its peer.
 struct StreamFixture {
   asio::io_context Loop;
-  tcp::socket Other{Loop};
+  tcp::socket Peer{Loop};
   std::shared_ptr<LineStream> Stream;
   std::vector<std::string> Lines;
   std::string Why;
 
   StreamFixture() {
     tcp::acceptor acceptor(Loop, {asio::ip::address_v4::loopback(), 0});
-    Other.connect(acceptor.local_endpoint());
+    Peer.connect(acceptor.local_endpoint());
     Stream = std::make_shared<LineStream>(acceptor.accept());
     Stream->start([this](std::string_view line) { Lines.emplace_back(line); },
                   [this](const char *why) { Why = why; });
   }
   void send(const std::string &bytes) {
-    asio::write(Other, asio::buffer(bytes));
+    asio::write(Peer, asio::buffer(bytes));
   }
   template <class Until> void runUntil(Until until) {
     while (!until())
@@ -39,20 +39,21 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(StreamFixture, "lines in pieces, are put together") {
+TEST_CASE_FIXTURE(StreamFixture, "lines received in parts, are assembled") {
   send("QUERY a RE");
   send("AD x\r\nQUERY b COMMIT\r\nQUE");
   runUntil([&] { return Lines.size() == 2; });
   CHECK(Lines == std::vector<std::string>{"QUERY a READ x", "QUERY b COMMIT"});
 }
 
-// A line that never ends would take the memory of a small VM.
+// Guards against a line without an end that uses up the memory of a small VM.
 TEST_CASE_FIXTURE(StreamFixture, "line that never ends, closes the stream") {
   std::string bytes(64 << 10, 'x');
   std::error_code ec;
-  for (std::size_t sent = 0; sent <= MaxMessage + bytes.size() && Why.empty();
+  for (std::size_t sent = 0;
+       sent <= MaxMessageBytes + bytes.size() && Why.empty();
        sent += bytes.size()) {
-    asio::write(Other, asio::buffer(bytes), ec);
+    asio::write(Peer, asio::buffer(bytes), ec);
     while (Loop.poll_one() > 0) {
     }
   }
@@ -60,10 +61,9 @@
   CHECK(Why == "message too long");
 }
 
-// An answer that nobody reads waits here; more of them than the bound allows
-// end the stream, and not from within the call that writes.
-TEST_CASE_FIXTURE(StreamFixture,
-                  "other side does not read, closes the stream") {
+// Guards against unbounded buffering for a peer that does not read. The stream
+// is closed at the bound, but not during write(), whose caller still uses it.
+TEST_CASE_FIXTURE(StreamFixture, "peer that does not read, closes the stream") {
   std::string bytes(1 << 20, 'x');
   for (unsigned n = 0; n < 64; ++n) {
     Stream->write(bytes);
@@ -74,19 +74,21 @@
   CHECK(Why == "the other side does not read");
 }
 
-TEST_CASE_FIXTURE(StreamFixture, "finished stream, sends what it has first") {
+TEST_CASE_FIXTURE(StreamFixture,
+                  "finished stream, sends its queued bytes first") {
   Stream->write("ERROR NODB x\r\n");
   Stream->finish();
   std::string got(14, ' ');
   std::error_code ec;
-  std::thread reader([&] { asio::read(Other, asio::buffer(got), ec); });
+  std::thread reader([&] { asio::read(Peer, asio::buffer(got), ec); });
   Loop.run();
   reader.join();
   CHECK(got == "ERROR NODB x\r\n");
 }
 
-TEST_CASE_FIXTURE(StreamFixture,
-                  "line unfinished, is known to wait since its first byte") {
+TEST_CASE_FIXTURE(
+    StreamFixture,
+    "incomplete line, is reported from its first byte to its end") {
   CHECK_FALSE(Stream->isUnfinished());
   send("QUERY a RE");
   runUntil([&] { return Stream->isUnfinished(); });
--- a/tests/adapter/settings_test.cpp
+++ b/tests/adapter/settings_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::string Whole = R"(
+const std::string CompleteSettings = R"(
 node_name: "frontend-tartu-press-1"
 ip: "10.1.0.8"
 zone: "tartu-press"
@@ -31,16 +31,16 @@
 something_new: [1, 2]
 )";
 
-std::string without(const std::string &line) {
-  auto out = Whole;
+std::string settingsWithout(const std::string &line) {
+  auto out = CompleteSettings;
   out.erase(out.find(line), line.size());
   return out;
 }
 
 } // namespace
 
-TEST_CASE("settings, whole and with a field not known, are read") {
-  auto it = parseSettings(Whole);
+TEST_CASE("settings, complete and with an unknown field, are parsed") {
+  auto it = parseSettings(CompleteSettings);
   REQUIRE(it);
   CHECK(it.value().Self.Vm.Value == "frontend-tartu-press-1");
   CHECK(it.value().InnerPort == 7'440);
@@ -49,17 +49,20 @@
   CHECK(it.value().Regions.at(DomainName("tallinn-desk")).Value == "tallinn");
 }
 
-TEST_CASE("settings, with the bandwidth of the link, are read") {
-  auto it = parseSettings(Whole + "limits:\n  bandwidth_mbps: 10.0\n");
+TEST_CASE("settings, with a link bandwidth, are parsed") {
+  auto it =
+      parseSettings(CompleteSettings + "limits:\n  bandwidth_mbps: 10.0\n");
   REQUIRE(it);
   CHECK(it.value().LinkMbps == 10);
   CHECK(memberOf(it.value(), 1).LinkMbps == 10);
-  CHECK(parseSettings(Whole).value().LinkMbps == 0);
-  CHECK_FALSE(parseSettings(Whole + "limits:\n  bandwidth_mbps: wide\n"));
+  CHECK(parseSettings(CompleteSettings).value().LinkMbps == 0);
+  CHECK_FALSE(
+      parseSettings(CompleteSettings + "limits:\n  bandwidth_mbps: wide\n"));
 }
 
-TEST_CASE("settings, several fields wrong, are all reported with their place") {
-  auto text = without("node_name: \"frontend-tartu-press-1\"\n");
+TEST_CASE(
+    "settings, several invalid fields, are all reported with their place") {
+  auto text = settingsWithout("node_name: \"frontend-tartu-press-1\"\n");
   text.replace(text.find("\"10.1.0.8:8784\""), 15, "\"somewhere\"");
   text.replace(text.find("grace_s: 6"), 10, "grace_s: no");
   auto it = parseSettings(text);
@@ -71,9 +74,10 @@
                                            "bounds/grace_s"});
 }
 
-TEST_CASE("settings, time for a configuration, is read or has its default") {
-  CHECK(parseSettings(Whole).value().ConfigurationLimit == milliseconds(3'000));
-  auto text = Whole;
+TEST_CASE("settings, configuration limit, is parsed or has its default") {
+  CHECK(parseSettings(CompleteSettings).value().ConfigurationLimit ==
+        milliseconds(3'000));
+  auto text = CompleteSettings;
   text.replace(text.find("  grace_s: 6"), 12,
                "  grace_s: 6\n  config_apply_ms: 5000");
   CHECK(parseSettings(text).value().ConfigurationLimit == milliseconds(5'000));
@@ -81,19 +85,20 @@
   CHECK_FALSE(parseSettings(text));
 }
 
-// Guards against a watch of the targets that waits longer than a leaving one
-// may get new work.
-TEST_CASE("settings, time for a leaving target, is read or has its default") {
-  CHECK(parseSettings(Whole).value().DrainLimit == milliseconds(7'000));
-  auto text = Whole;
+// The wait of a target watch is derived from the drain limit. Guards against a
+// wait longer than a leaving target may get new work.
+TEST_CASE("settings, drain limit, is parsed or has its default") {
+  CHECK(parseSettings(CompleteSettings).value().DrainLimit ==
+        milliseconds(7'000));
+  auto text = CompleteSettings;
   text.replace(text.find("  grace_s: 6"), 12, "  grace_s: 6\n  drain_ms: 9000");
   CHECK(parseSettings(text).value().DrainLimit == milliseconds(9'000));
   text.replace(text.find("9000"), 4, "soon");
   CHECK_FALSE(parseSettings(text));
 }
 
-TEST_CASE("settings, no YAML or ports missing, are refused") {
+TEST_CASE("settings, invalid YAML or missing ports, are rejected") {
   CHECK_FALSE(parseSettings("{"));
   CHECK_FALSE(parseSettings("[]"));
-  CHECK_FALSE(parseSettings(without("  - 7455\n")));
+  CHECK_FALSE(parseSettings(settingsWithout("  - 7455\n")));
 }
--- a/tests/adapter/wire_test.cpp
+++ b/tests/adapter/wire_test.cpp
@@ -22,11 +22,11 @@
 struct ReaderFixture {
   AnswerReader Reader;
 
-  /// \return the answer after the last line.
-  std::optional<Answer> take(std::initializer_list<const char *> lines) {
+  /// \return the result for the last line.
+  std::optional<Answer> readLines(std::initializer_list<const char *> lines) {
     std::optional<Answer> out;
     for (const auto *it : lines) {
-      auto answer = Reader.take(it);
+      auto answer = Reader.readLine(it);
       REQUIRE(answer);
       out = answer.value();
     }
@@ -36,13 +36,13 @@
 
 } // namespace
 
-TEST_CASE("caller's start, names a database") {
+TEST_CASE("caller's START, names a database") {
   auto it = parseCallerMessage("START lepu270 u3f1");
   REQUIRE(it);
   CHECK(std::get<StartMessage>(it.value()).Database.Value == "lepu270");
 }
 
-TEST_CASE("caller's statements, each kind, is told from its text") {
+TEST_CASE("caller's statements, each kind, are parsed") {
   CHECK(statementOf("QUERY a BEGIN").Kind == StatementKind::Begin);
   CHECK(statementOf("QUERY a BEGIN READ").Kind == StatementKind::BeginRead);
   CHECK(statementOf("QUERY a COMMIT").Kind == StatementKind::Commit);
@@ -64,7 +64,7 @@
   CHECK(execute.Argument == "1a4 data");
 }
 
-TEST_CASE("caller's statement, not understood, has an id to answer it") {
+TEST_CASE("caller's statement, invalid, is Unknown and keeps its id") {
   for (const char *it :
        {"QUERY a DROP x", "QUERY a BEGIN NOW", "QUERY a PREPARE s1 MAYBE q",
         "QUERY a PREPARE s1", "QUERY a READ", "QUERY a "}) {
@@ -74,14 +74,14 @@
   }
 }
 
-TEST_CASE("caller's bytes, no message, are an error") {
+TEST_CASE("caller's line, not a message, is an error") {
   for (const char *it : {"", "GET / HTTP/1.1", "QUERY", "START", "START  x"}) {
     CAPTURE(it);
     CHECK_FALSE(parseCallerMessage(it));
   }
 }
 
-TEST_CASE("statement to a target, own and caller's, have their text") {
+TEST_CASE("statement to a target, own or caller's, is formatted") {
   Statement begin;
   begin.Kind = StatementKind::BeginRead;
   begin.NotBefore = Position{3, 1207};
@@ -90,14 +90,14 @@
   CHECK(formatStatement(read) == "QUERY 5c0e READ 1a4\r\n");
   read.NotBefore = Position{3, 9};
   CHECK(formatStatement(read) == "QUERY 5c0e AFTER 3.9 READ 1a4\r\n");
-  // No position is known yet: nothing is asked for.
+  // No position is known yet, so AFTER is left out.
   read.NotBefore = Position{};
   CHECK(formatStatement(read) == "QUERY 5c0e READ 1a4\r\n");
   CHECK(formatStart("huvo11a", TargetName("i-7f")) ==
         "START huvo11a peridotfall i-7f\r\n");
 }
 
-TEST_CASE("answer to a caller, rows or an error, end with the state") {
+TEST_CASE("answer to a caller, rows or an error, ends with the state") {
   Answer answer;
   answer.Rows = {"one"};
   answer.Signature = "7.1f3";
@@ -110,8 +110,8 @@
   CHECK(formatAnswer(error) == "ERROR BUSY retry-after-ms=5\r\nREADY I -\r\n");
 }
 
-TEST_CASE_FIXTURE(ReaderFixture, "target's answer, rows, is put together") {
-  auto it = take({"ROW qhz", "ROW k", "COMPLETE 7.1f3", "READY I 3.1209"});
+TEST_CASE_FIXTURE(ReaderFixture, "target's answer, rows, is assembled") {
+  auto it = readLines({"ROW qhz", "ROW k", "COMPLETE 7.1f3", "READY I 3.1209"});
   REQUIRE(it);
   CHECK(it->Rows == std::vector<std::string>{"qhz", "k"});
   CHECK(it->Signature == "7.1f3");
@@ -119,32 +119,33 @@
   CHECK(it->State == TransactionState::Idle);
 }
 
-TEST_CASE_FIXTURE(ReaderFixture, "target's errors, known and not, are kept") {
-  auto it = take({"ERROR READONLY i-7f3a91c2", "READY E 3.1209"});
+TEST_CASE_FIXTURE(ReaderFixture,
+                  "target's errors, known and unknown, are parsed") {
+  auto it = readLines({"ERROR READONLY i-7f3a91c2", "READY E 3.1209"});
   REQUIRE(it);
   CHECK(it->Error->Kind == ErrorKind::ReadOnly);
   CHECK(it->State == TransactionState::Failed);
-  it = take({"ERROR ODD some text", "READY I -"});
+  it = readLines({"ERROR ODD some text", "READY I -"});
   CHECK(it->Error->Kind == ErrorKind::Other);
   CHECK(it->Error->Detail == "ODD some text");
   CHECK_FALSE(it->At);
 }
 
-TEST_CASE_FIXTURE(ReaderFixture, "target's status, is read from its row") {
-  auto it =
-      take({"ROW replica 3 3.1209 0 12 2 17", "COMPLETE -", "READY I 3.1204"});
+TEST_CASE_FIXTURE(ReaderFixture, "target's status, is parsed from its row") {
+  auto it = readLines(
+      {"ROW replica 3 3.1209 0 12 2 17", "COMPLETE -", "READY I 3.1204"});
   REQUIRE(it->Status);
   CHECK_FALSE(it->Status->IsPrimary);
   CHECK(it->Status->Received == Position{3, 1209});
 }
 
-// A row of the next answer must not be taken for one of this.
-TEST_CASE_FIXTURE(ReaderFixture, "row behind the end, is not an answer") {
-  take({"COMPLETE x"});
-  CHECK_FALSE(Reader.take("ROW y"));
+// Guards against a row of the next answer being added to this one.
+TEST_CASE_FIXTURE(ReaderFixture, "row after the result, is rejected") {
+  readLines({"COMPLETE x"});
+  CHECK_FALSE(Reader.readLine("ROW y"));
 }
 
-TEST_CASE_FIXTURE(ReaderFixture, "unknown state or word, is not an answer") {
-  CHECK_FALSE(Reader.take("READY X -"));
-  CHECK_FALSE(Reader.take("HELLO"));
+TEST_CASE_FIXTURE(ReaderFixture, "unknown state or token, is rejected") {
+  CHECK_FALSE(Reader.readLine("READY X -"));
+  CHECK_FALSE(Reader.readLine("HELLO"));
 }
