--- a/src/http/answer_progress.cpp
+++ b/src/http/answer_progress.cpp
@@ -13,22 +13,22 @@
 }
 
 void AnswerProgress::received(SteadyTime now) {
-  if (!First)
-    First = now;
-  Last = now;
+  if (!FirstByteTime)
+    FirstByteTime = now;
+  LastByteTime = now;
 }
 
 SteadyTime AnswerProgress::deadline() const {
   bool limitsWhole = Limits.Stall.count() == 0;
-  if (!First || limitsWhole)
-    return Begun + Limits.Begin;
-  return Last + Limits.Stall;
+  if (!FirstByteTime || limitsWhole)
+    return StartTime + Limits.Begin;
+  return LastByteTime + Limits.Stall;
 }
 
 Transfer AnswerProgress::transfer(std::size_t bytes, SteadyTime now) const {
-  if (!First)
+  if (!FirstByteTime)
     return {};
-  return {bytes, now - *First};
+  return {bytes, now - *FirstByteTime};
 }
 
 } // namespace peridotfall::http
--- a/src/http/answer_progress.h
+++ b/src/http/answer_progress.h
@@ -1,5 +1,5 @@
 /// \file
-/// When a call whose answer may be large is to be given up.
+/// Timeouts of a call whose answer may be large.
 
 #ifndef PERIDOTFALL_HTTP_ANSWER_PROGRESS_H
 #define PERIDOTFALL_HTTP_ANSWER_PROGRESS_H
@@ -13,29 +13,31 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// \return limits that end a call unless its whole answer is there in time.
+/// \return limits that time out a call unless its whole answer arrives within
+/// \p limit.
 AnswerLimits wholeWithin(std::chrono::milliseconds limit);
-/// \return limits for an answer that begins in time and then keeps coming.
+/// \return limits for an answer that begins within \p limit and then never
+/// stalls for longer than limits::AnswerStall.
 AnswerLimits beginsWithin(std::chrono::milliseconds limit);
 
-/// What has come of an answer. The time is passed in.
+/// Tracks when bytes of an answer arrive. The time is passed in.
 class AnswerProgress {
 public:
   AnswerProgress() = default;
-  AnswerProgress(AnswerLimits limits, SteadyTime begun)
-      : Limits(limits), Begun(begun) {}
+  AnswerProgress(AnswerLimits limits, SteadyTime startTime)
+      : Limits(limits), StartTime(startTime) {}
 
   void received(SteadyTime now);
-  bool hasBegun() const { return First.has_value(); }
-  /// \return when the call is to be given up if nothing more comes.
+  bool hasBegun() const { return FirstByteTime.has_value(); }
+  /// \return when the call times out if no further byte arrives.
   SteadyTime deadline() const;
   Transfer transfer(std::size_t bytes, SteadyTime now) const;
 
 private:
   AnswerLimits Limits;
-  SteadyTime Begun;
-  std::optional<SteadyTime> First;
-  SteadyTime Last;
+  SteadyTime StartTime;
+  std::optional<SteadyTime> FirstByteTime;
+  SteadyTime LastByteTime;
 };
 
 } // namespace peridotfall::http
--- a/src/http/asio_impl.cpp
+++ b/src/http/asio_impl.cpp
@@ -1,3 +1,3 @@
-// Asio's own code, compiled once.
+// Asio's separately compiled implementation.
 #include <asio/impl/src.hpp>
 #include <asio/ssl/impl/src.hpp>
--- a/src/http/channel.cpp
+++ b/src/http/channel.cpp
@@ -13,11 +13,12 @@
 
 namespace peridotfall::http {
 
-/// The channels of one loop. A call back often holds what holds its channel;
-/// when the loop ends with calls in flight, dropping them breaks that circle.
+/// The channels of one loop. A callback often owns an object that owns its
+/// channel. When the loop shuts down with calls in flight, dropping these calls
+/// breaks the reference cycle.
 class ChannelRegistry : public asio::execution_context::service {
 public:
-  using key_type = ChannelRegistry;      // NOLINT: a name that Asio asks for.
+  using key_type = ChannelRegistry;      // NOLINT: a name that Asio requires.
   static asio::execution_context::id id; // NOLINT: likewise.
 
   explicit ChannelRegistry(asio::execution_context &context)
@@ -53,9 +54,9 @@
 
 namespace {
 
-Channel &from(void *self) { return *static_cast<Channel *>(self); }
+Channel &channelOf(void *self) { return *static_cast<Channel *>(self); }
 
-constexpr std::uint32_t AnswerWindow = 4 << 20;
+constexpr std::uint32_t AnswerWindowBytes = 4 << 20;
 
 } // namespace
 
@@ -73,9 +74,9 @@
 Channel::~Channel() { asio::use_service<ChannelRegistry>(Loop).remove(this); }
 
 void Channel::abandon() {
-  Dead = true;
-  auto waiting = std::exchange(Waiting, {});
-  auto running = std::exchange(Running, {});
+  Terminated = true;
+  auto pending = std::exchange(Pending, {});
+  auto inFlight = std::exchange(InFlight, {});
 }
 
 void Channel::call(Request request, std::chrono::milliseconds limit,
@@ -106,7 +107,7 @@
 }
 
 void Channel::begin(const CallPtr &call, const AnswerLimits &limits) {
-  if (Closed || Dead) {
+  if (Closed || Terminated) {
     call->Done(TransportError{Failure::NotSent, "connection closed"});
     return;
   }
@@ -116,7 +117,7 @@
     submit(call);
     return;
   }
-  Waiting.push_back(call);
+  Pending.push_back(call);
   if (!Connecting)
     connect();
 }
@@ -125,14 +126,14 @@
   Connecting = true;
   auto endpoint = parseEndpoint(Address);
   if (!endpoint) {
-    connected(std::make_error_code(std::errc::invalid_argument));
+    onConnected(std::make_error_code(std::errc::invalid_argument));
     return;
   }
   Io = std::make_shared<Pump>(
       ByteStream(asio::ip::tcp::socket(Loop), Options.Tls),
       [weak = weak_from_this()] {
         if (auto self = weak.lock())
-          self->lost();
+          self->onConnectionLost();
       });
   ConnectTimer.expires_after(Options.ConnectLimit);
   ConnectTimer.async_wait(
@@ -143,36 +144,37 @@
   Io->stream().socket().async_connect(
       *endpoint, [self = shared_from_this()](std::error_code ec) {
         if (ec) {
-          self->connected(ec);
+          self->onConnected(ec);
           return;
         }
         std::error_code ignored;
         self->Io->stream().socket().set_option(asio::ip::tcp::no_delay(true),
                                                ignored);
         self->Io->stream().handshake(
-            false, [self](std::error_code e) { self->connected(e); });
+            false, [self](std::error_code e) { self->onConnected(e); });
       });
 }
 
-void Channel::connected(std::error_code ec) {
+void Channel::onConnected(std::error_code ec) {
   Connecting = false;
   ConnectTimer.cancel();
   if (Closed)
     ec = asio::error::operation_aborted;
   if (ec) {
     if (!Options.Reconnect)
-      Dead = true;
-    failWaiting("cannot connect to " + Address + ": " + ec.message());
+      Terminated = true;
+    failPending("cannot connect to " + Address + ": " + ec.message());
     return;
   }
-  opened();
+  onOpened();
 }
 
-void Channel::opened() {
-  // Keeps this channel alive while the connection is open.
+void Channel::onOpened() {
+  // Pending reads and writes keep this channel alive while the connection is
+  // open.
   Io->start(makeSession(), shared_from_this());
-  auto waiting = std::exchange(Waiting, {});
-  for (const auto &it : waiting)
+  auto pending = std::exchange(Pending, {});
+  for (const auto &it : pending)
     submit(it);
 }
 
@@ -188,12 +190,12 @@
   nghttp2_session_callbacks_del(callbacks);
   std::array<nghttp2_settings_entry, 2> settings{{
       {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
-      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, AnswerWindow},
+      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, AnswerWindowBytes},
   }};
   nghttp2_submit_settings(session, NGHTTP2_FLAG_NONE, settings.data(),
                           settings.size());
   nghttp2_session_set_local_window_size(session, NGHTTP2_FLAG_NONE, 0,
-                                        AnswerWindow);
+                                        AnswerWindowBytes);
   return SessionPtr(session);
 }
 
@@ -205,7 +207,7 @@
   fields.insert(fields.end(), call->In.Fields.begin(), call->In.Fields.end());
   auto values = toNameValues(fields);
   call->Body.Bytes = std::move(call->In.Body);
-  auto body = provide(call->Body);
+  auto body = makeDataProvider(call->Body);
   auto stream = nghttp2_submit_request(
       Io->session(), nullptr, values.data(), values.size(),
       call->Body.Bytes.empty() ? nullptr : &body, nullptr);
@@ -215,28 +217,28 @@
     return;
   }
   call->Stream = stream;
-  Running[stream] = call;
+  InFlight[stream] = call;
   Io->flush();
 }
 
-void Channel::noteReceived(const CallPtr &call) {
+void Channel::recordProgress(const CallPtr &call) {
   bool begins = !call->Progress.hasBegun();
   call->Progress.received(std::chrono::steady_clock::now());
-  // An answer that stalls may be given up earlier than one that never begins.
+  // The stall limit may end earlier than the limit for the first byte.
   if (begins)
     startTimer(call);
 }
 
 void Channel::expire(const CallPtr &call) {
   if (call->Stream == 0) {
-    auto it = std::find(Waiting.begin(), Waiting.end(), call);
-    if (it == Waiting.end())
+    auto it = std::find(Pending.begin(), Pending.end(), call);
+    if (it == Pending.end())
       return;
-    Waiting.erase(it);
-    call->Done(TransportError{Failure::NotSent, "no connection in time"});
+    Pending.erase(it);
+    call->Done(TransportError{Failure::NotSent, "connection timed out"});
     return;
   }
-  if (Running.erase(call->Stream) == 0)
+  if (InFlight.erase(call->Stream) == 0)
     return;
   if (Io->session()) {
     nghttp2_submit_rst_stream(Io->session(), NGHTTP2_FLAG_NONE, call->Stream,
@@ -245,22 +247,22 @@
     asio::post(Loop, [keep = call] {});
     Io->flush();
   }
-  call->Done(
-      TransportError{Failure::MaybeRun, "no answer in time", call->received()});
+  call->Done(TransportError{
+      Failure::MaybeRun, "no answer within the time limit", call->received()});
 }
 
 int Channel::onHeader(nghttp2_session *, const nghttp2_frame *frame,
                       const std::uint8_t *name, std::size_t nameLength,
                       const std::uint8_t *value, std::size_t valueLength,
                       std::uint8_t, void *self) {
-  auto &running = from(self).Running;
-  auto it = running.find(frame->hd.stream_id);
-  if (it == running.end())
+  auto &inFlight = channelOf(self).InFlight;
+  auto it = inFlight.find(frame->hd.stream_id);
+  if (it == inFlight.end())
     return 0;
   std::string field(reinterpret_cast<const char *>(name), nameLength);
   std::string text(reinterpret_cast<const char *>(value), valueLength);
   auto &out = it->second->Out;
-  from(self).noteReceived(it->second);
+  channelOf(self).recordProgress(it->second);
   if (field == ":status")
     std::from_chars(text.data(), text.data() + text.size(), out.Status);
   else if (out.Fields.size() < limits::MaxHeaderFields)
@@ -270,11 +272,11 @@
 
 int Channel::onData(nghttp2_session *session, std::uint8_t, std::int32_t stream,
                     const std::uint8_t *data, std::size_t length, void *self) {
-  auto &channel = from(self);
-  auto it = channel.Running.find(stream);
-  if (it == channel.Running.end())
+  auto &channel = channelOf(self);
+  auto it = channel.InFlight.find(stream);
+  if (it == channel.InFlight.end())
     return 0;
-  channel.noteReceived(it->second);
+  channel.recordProgress(it->second);
   auto &body = it->second->Out.Body;
   if (body.size() + length > channel.Options.MaxBody) {
     it->second->TooLarge = true;
@@ -288,20 +290,22 @@
 
 int Channel::onStreamClosed(nghttp2_session *, std::int32_t stream,
                             std::uint32_t code, void *self) {
-  auto &channel = from(self);
-  auto it = channel.Running.find(stream);
-  if (it == channel.Running.end())
+  auto &channel = channelOf(self);
+  auto it = channel.InFlight.find(stream);
+  if (it == channel.InFlight.end())
     return 0;
   auto call = it->second;
-  channel.Running.erase(it);
+  channel.InFlight.erase(it);
   call->Timer.cancel();
   call->Out.Received = call->received();
-  // The call back must not run inside the session: it may call again.
+  // The callback must not run inside an nghttp2 callback: it may start another
+  // call.
   asio::post(channel.Loop, [call, code] {
     if (code == NGHTTP2_NO_ERROR && !call->TooLarge)
       call->Done(std::move(call->Out));
     else if (code == NGHTTP2_REFUSED_STREAM)
-      call->Done(TransportError{Failure::NotSent, "refused by the other side"});
+      call->Done(
+          TransportError{Failure::NotSent, "stream refused by the peer"});
     else
       call->Done(TransportError{Failure::MaybeRun,
                                 call->TooLarge ? "answer too large"
@@ -310,20 +314,21 @@
   return 0;
 }
 
-void Channel::failWaiting(const std::string &why) {
-  auto waiting = std::exchange(Waiting, {});
-  for (const auto &it : waiting) {
+void Channel::failPending(const std::string &why) {
+  auto pending = std::exchange(Pending, {});
+  for (const auto &it : pending) {
     it->Timer.cancel();
     it->Done(TransportError{Failure::NotSent, why});
   }
 }
 
-/// Bytes of these calls may have left, so their outcome is unknown.
-void Channel::lost() {
+/// Bytes of the calls in flight may have been sent, so their outcome is
+/// unknown.
+void Channel::onConnectionLost() {
   if (!Options.Reconnect)
-    Dead = true;
-  auto running = std::exchange(Running, {});
-  for (const auto &[stream, it] : running) {
+    Terminated = true;
+  auto inFlight = std::exchange(InFlight, {});
+  for (const auto &[stream, it] : inFlight) {
     it->Timer.cancel();
     asio::post(Loop, [call = it] {
       call->Done(TransportError{Failure::MaybeRun, "connection lost"});
@@ -334,12 +339,12 @@
 void Channel::close() {
   asio::dispatch(Loop, [self = shared_from_this()] {
     self->Closed = true;
-    self->Dead = true;
+    self->Terminated = true;
     if (self->Io && self->Io->isOpen())
       self->Io->close();
     else if (self->Io)
       self->Io->stream().close();
-    self->failWaiting("connection closed");
+    self->failPending("connection closed");
   });
 }
 
--- a/src/http/channel.h
+++ b/src/http/channel.h
@@ -27,8 +27,8 @@
 
 struct ChannelOptions {
   TlsContext Tls = nullptr;
-  /// Connects again for the next call after a loss. Off where the connection
-  /// itself carries state, as a transaction's does.
+  /// Reconnects for the next call after the connection was lost. Off where the
+  /// connection has state of its own, such as an open transaction.
   bool Reconnect = true;
   std::chrono::milliseconds ConnectLimit = limits::ConnectLimit;
   std::size_t MaxBody = limits::MaxAnswerBody;
@@ -42,15 +42,16 @@
   Channel(const Channel &) = delete;
   Channel &operator=(const Channel &) = delete;
 
-  /// From any thread. The call back runs on the channel's loop, exactly once.
-  /// \param limit longest wait for the whole answer, connecting included.
+  /// Thread-safe. The callback runs on the channel's loop, exactly once.
+  /// \param limit longest wait for the whole answer, including the connect.
   void call(Request request, std::chrono::milliseconds limit, OnResult done);
-  /// The same with an answer that may be large.
+  /// The same for an answer that may be large.
   void call(Request request, const AnswerLimits &limits, OnResult done);
-  /// From any thread. Calls in flight fail.
+  /// Thread-safe. Calls in flight fail.
   void close();
-  /// From any thread: whether the connection was lost and is not made again.
-  bool isDead() const { return Dead.load(); }
+  /// Thread-safe. \return whether the connection has ended for good: closed, or
+  /// lost without Reconnect.
+  bool isTerminated() const { return Terminated.load(); }
   const std::string &address() const { return Address; }
   asio::io_context &loop() { return Loop; }
 
@@ -83,18 +84,18 @@
                             std::uint32_t code, void *self);
 
   void begin(const CallPtr &call, const AnswerLimits &limits);
-  /// Gives the call up when its limits say so.
+  /// Times the call out at the deadline of its limits.
   void startTimer(const CallPtr &call);
   void connect();
-  void connected(std::error_code ec);
-  void opened();
+  void onConnected(std::error_code ec);
+  void onOpened();
   SessionPtr makeSession();
   void submit(const CallPtr &call);
-  void noteReceived(const CallPtr &call);
+  void recordProgress(const CallPtr &call);
   void expire(const CallPtr &call);
-  void failWaiting(const std::string &why);
-  void lost();
-  /// Drops all calls without an answer: the loop has ended.
+  void failPending(const std::string &why);
+  void onConnectionLost();
+  /// Drops all calls without running their callbacks: the loop has shut down.
   void abandon();
 
   asio::io_context &Loop;
@@ -104,9 +105,9 @@
   asio::steady_timer ConnectTimer;
   bool Connecting = false;
   bool Closed = false;
-  std::atomic<bool> Dead{false};
-  std::deque<CallPtr> Waiting;
-  std::map<std::int32_t, CallPtr> Running;
+  std::atomic<bool> Terminated{false};
+  std::deque<CallPtr> Pending;
+  std::map<std::int32_t, CallPtr> InFlight;
 };
 
 } // namespace peridotfall::http
--- a/src/http/loops.cpp
+++ b/src/http/loops.cpp
@@ -7,7 +7,7 @@
 Loops::Loops(unsigned threads) {
   for (unsigned n = 0; n < std::max(threads, 1U); ++n) {
     Contexts.push_back(std::make_unique<Context>(1));
-    Guards.emplace_back(Contexts.back()->get_executor());
+    WorkGuards.emplace_back(Contexts.back()->get_executor());
   }
   for (auto &it : Contexts)
     Threads.emplace_back([loop = it.get()] { loop->run(); });
@@ -15,12 +15,14 @@
 
 Loops::~Loops() {
   stop();
-  Guards.clear();
+  WorkGuards.clear();
   for (auto &it : Contexts)
     it->shutdown();
 }
 
-asio::io_context &Loops::next() { return *Contexts[Turn++ % Contexts.size()]; }
+asio::io_context &Loops::next() {
+  return *Contexts[NextIndex++ % Contexts.size()];
+}
 
 void Loops::stop() {
   for (auto &it : Contexts)
--- a/src/http/loops.h
+++ b/src/http/loops.h
@@ -1,5 +1,5 @@
 /// \file
-/// Event loops, one a thread. A connection belongs to one loop for life.
+/// Event loops, one per thread. A connection stays on one loop until it closes.
 
 #ifndef PERIDOTFALL_HTTP_LOOPS_H
 #define PERIDOTFALL_HTTP_LOOPS_H
@@ -20,17 +20,18 @@
   Loops(const Loops &) = delete;
   Loops &operator=(const Loops &) = delete;
 
-  /// \return the loops in turn.
+  /// \return the next loop, round robin.
   asio::io_context &next();
   asio::io_context &at(std::size_t n) { return *Contexts[n]; }
   std::size_t size() const { return Contexts.size(); }
 
-  /// Stops all loops and joins their threads. Not from a loop's thread.
+  /// Stops all loops and joins their threads. Must not be called from a loop's
+  /// thread.
   void stop();
 
 private:
-  /// Lets pending work of all loops be dropped before any loop is destroyed:
-  /// work pending on one may hold timers of another.
+  /// Makes shutdown() accessible: the pending work of all loops is dropped
+  /// before any loop is destroyed, as it may own timers of another loop.
   struct Context : asio::io_context {
     using asio::execution_context::shutdown;
     using asio::io_context::io_context;
@@ -38,9 +39,9 @@
 
   std::vector<std::unique_ptr<Context>> Contexts;
   std::vector<asio::executor_work_guard<asio::io_context::executor_type>>
-      Guards;
+      WorkGuards;
   std::vector<std::thread> Threads;
-  std::atomic<std::size_t> Turn{0};
+  std::atomic<std::size_t> NextIndex{0};
 };
 
 } // namespace peridotfall::http
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests and responses, whole in memory.
+/// Requests and responses, each held completely in memory.
 
 #ifndef PERIDOTFALL_HTTP_MESSAGE_H
 #define PERIDOTFALL_HTTP_MESSAGE_H
@@ -34,24 +34,25 @@
   Headers Fields;
   std::string Body;
   ConnectionHandle Connection;
-  std::string Peer; ///< Address of the other side.
-  /// Set once the caller has gone: its work is dropped before it starts.
+  std::string Peer; ///< The peer's IP address.
+  /// Set when the request's stream or connection closes. Work that has not
+  /// started by then is dropped.
   std::shared_ptr<std::atomic<bool>> Gone;
 };
 
-/// How an answer came in.
+/// Size and duration of a received answer.
 struct Transfer {
-  std::size_t Bytes = 0;           ///< Of its body, so far.
+  std::size_t Bytes = 0;           ///< Of the body, so far.
   std::chrono::nanoseconds Took{}; ///< Since its first byte.
 
   auto operator<=>(const Transfer &) const = default;
 };
 
-/// How long an answer is waited for. A large one that is on its way is not
-/// silence: given up and asked for anew, it fills the link again.
+/// Timeouts of an answer. A large answer that is still arriving must not time
+/// out: a retry would transfer all of it again and saturate the link.
 struct AnswerLimits {
   std::chrono::milliseconds Begin{}; ///< Until the answer's first byte.
-  /// Without another byte. Zero: Begin is the limit of the whole answer.
+  /// Longest gap between bytes. Zero: Begin limits the whole answer.
   std::chrono::milliseconds Stall{};
 
   auto operator<=>(const AnswerLimits &) const = default;
@@ -61,23 +62,23 @@
   int Status = 200;
   Headers Fields;
   std::string Body;
-  Transfer Received{}; ///< Set where a call was answered.
+  Transfer Received{}; ///< Set by the client for an answered call.
 };
 
-/// Sends the response; once, from any thread.
+/// Sends the response. Call it once, from any thread.
 using Respond = std::function<void(Response)>;
 using Handler = std::function<void(Request, Respond)>;
 
 /// How a request without a response ended.
 enum class Failure {
-  NotSent,  ///< The other side has not begun, and will not.
-  MaybeRun, ///< Bytes may have left: the outcome is unknown.
+  NotSent,  ///< The peer has not started the request and will not.
+  MaybeRun, ///< Bytes may have been sent: the outcome is unknown.
 };
 
 struct TransportError {
   Failure Kind = Failure::NotSent;
   std::string Message;
-  Transfer Received{}; ///< Of an answer that was given up on.
+  Transfer Received{}; ///< Of an answer that timed out.
 };
 
 } // namespace peridotfall::http
--- a/src/http/pump.cpp
+++ b/src/http/pump.cpp
@@ -33,7 +33,7 @@
   std::vector<nghttp2_nv> out;
   out.reserve(headers.size());
   for (const auto &it : headers) {
-    // nghttp2 copies both, and takes them by pointers to non-const.
+    // nghttp2 copies both strings, although it takes non-const pointers.
     auto *name =
         reinterpret_cast<std::uint8_t *>(const_cast<char *>(it.Name.data()));
     auto *value =
@@ -44,7 +44,7 @@
   return out;
 }
 
-nghttp2_data_provider provide(BodySource &body) {
+nghttp2_data_provider makeDataProvider(BodySource &body) {
   nghttp2_data_provider it{};
   it.source.ptr = &body;
   it.read_callback = readBody;
@@ -82,20 +82,20 @@
   auto n = nghttp2_session_mem_recv(Session.get(), bytes.data(), bytes.size());
   InSession = false;
   if (n < 0) {
-    // The other side does not speak the protocol; what nghttp2 wants to tell
-    // it (GOAWAY) is sent if it can be.
-    collect();
+    // Protocol error by the peer. nghttp2's GOAWAY is collected, and sent where
+    // that is still possible.
+    collectOutput();
     close();
     return;
   }
   flush();
 }
 
-/// Gathers the session's frames, so that many answers leave in one write.
-void Pump::collect() {
-  constexpr std::size_t Enough = 64 << 10;
+/// Gathers the session's frames, so that many answers share one write.
+void Pump::collectOutput() {
+  constexpr std::size_t MaxWriteBytes = 64 << 10;
   InSession = true;
-  while (Out.size() < Enough) {
+  while (Out.size() < MaxWriteBytes) {
     const std::uint8_t *data = nullptr;
     auto n = nghttp2_session_mem_send(Session.get(), &data);
     if (n <= 0)
@@ -109,7 +109,7 @@
 void Pump::flush() {
   if (!Open || Writing || InSession)
     return;
-  collect();
+  collectOutput();
   if (Out.empty()) {
     closeIfFinished();
     return;
--- a/src/http/pump.h
+++ b/src/http/pump.h
@@ -1,6 +1,6 @@
 /// \file
-/// Moves bytes between a stream and an nghttp2 session; server and client
-/// connections share it.
+/// Moves bytes between a stream and an nghttp2 session. Used by server and
+/// client connections.
 
 #ifndef PERIDOTFALL_HTTP_PUMP_H
 #define PERIDOTFALL_HTTP_PUMP_H
@@ -22,16 +22,16 @@
 };
 using SessionPtr = std::unique_ptr<nghttp2_session, SessionDeleter>;
 
-/// All calls on the stream's loop.
+/// All functions must be called on the stream's loop.
 class Pump : public std::enable_shared_from_this<Pump> {
 public:
   Pump(ByteStream stream, std::function<void()> onClosed);
 
-  /// Takes the session and begins to read and write.
-  /// \param owner of this pump; pending reads and writes keep it alive, so it
-  /// lives as long as the connection is open.
+  /// Takes ownership of the session and starts to read and write.
+  /// \param owner owner of this pump. Pending reads keep it alive while the
+  /// connection is open.
   void start(SessionPtr session, const std::shared_ptr<void> &owner);
-  /// Sends what the session has to send. Safe within session callbacks.
+  /// Sends the session's pending frames. Safe within session callbacks.
   void flush();
   void close();
   bool isOpen() const { return Open; }
@@ -41,7 +41,7 @@
 private:
   void read();
   void receive(std::span<const std::uint8_t> bytes);
-  void collect();
+  void collectOutput();
   void closeIfFinished();
 
   ByteStream Stream;
@@ -54,15 +54,15 @@
   bool InSession = false;
 };
 
-/// Shallow: the header names and values must outlive the call it is used in.
+/// \return views of the headers, which must outlive the nghttp2 call.
 std::vector<nghttp2_nv> toNameValues(const Headers &headers);
 
-/// A body that nghttp2 reads piece by piece.
+/// A body that nghttp2 reads in pieces.
 struct BodySource {
   std::string Bytes;
   std::size_t Sent = 0;
 };
-nghttp2_data_provider provide(BodySource &body);
+nghttp2_data_provider makeDataProvider(BodySource &body);
 
 } // namespace peridotfall::http
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -22,14 +22,14 @@
   unsigned port = 0;
   const char *last = text.data() + text.size();
   auto [end, parseError] = std::from_chars(text.data() + colon + 1, last, port);
-  constexpr unsigned MostPort = 65'535;
-  if (ec || parseError != std::errc() || end != last || port > MostPort)
+  constexpr unsigned MaxPort = 65'535;
+  if (ec || parseError != std::errc() || end != last || port > MaxPort)
     return std::nullopt;
   return tcp::endpoint(address, static_cast<std::uint16_t>(port));
 }
 
 Server::Server(Loops &loops, ServerOptions options, Handler handler)
-    : Pool(loops), Options(std::move(options)), Handle(std::move(handler)) {}
+    : Pool(loops), Options(std::move(options)), OnRequest(std::move(handler)) {}
 
 std::error_code Server::start() {
   auto endpoint = parseEndpoint(Options.Address);
@@ -62,12 +62,12 @@
     if (ec == asio::error::operation_aborted)
       return;
     if (!ec)
-      self->adopt(std::move(socket), loop);
+      self->addConnection(std::move(socket), loop);
     self->accept();
   });
 }
 
-void Server::adopt(tcp::socket socket, asio::io_context &loop) {
+void Server::addConnection(tcp::socket socket, asio::io_context &loop) {
   std::shared_ptr<ServerConnection> it;
   {
     std::lock_guard guard(Lock);
@@ -79,12 +79,12 @@
   asio::post(loop, [it] { it->start(); });
 }
 
-void Server::forget(ConnectionHandle it) {
+void Server::removeConnection(ConnectionHandle it) {
   std::lock_guard guard(Lock);
   Open.erase(it);
 }
 
-std::vector<std::shared_ptr<ServerConnection>> Server::all() const {
+std::vector<std::shared_ptr<ServerConnection>> Server::openConnections() const {
   std::vector<std::shared_ptr<ServerConnection>> out;
   std::lock_guard guard(Lock);
   for (const auto &[handle, weak] : Open)
@@ -99,7 +99,7 @@
     if (self->Acceptor)
       self->Acceptor->close(ec);
   });
-  for (auto &it : all())
+  for (auto &it : openConnections())
     it->drain();
 }
 
@@ -107,7 +107,7 @@
   if (!AcceptLoop)
     return;
   drain();
-  for (auto &it : all())
+  for (auto &it : openConnections())
     it->stop();
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,5 +1,6 @@
 /// \file
-/// An HTTP/2 server on the loops: callers, other daemons and the stand-ins.
+/// An HTTP/2 server on the event loops, for callers, other daemons and the test
+/// stand-ins.
 
 #ifndef PERIDOTFALL_HTTP_SERVER_H
 #define PERIDOTFALL_HTTP_SERVER_H
@@ -20,12 +21,12 @@
 namespace peridotfall::http {
 
 struct ServerOptions {
-  std::string Address; ///< IP number and port; port 0 takes a free one.
+  std::string Address; ///< IP address and port; port 0 selects a free one.
   TlsContext Tls;      ///< Null: plain text.
   std::uint32_t MaxStreams = limits::MaxCallerStreams;
   std::size_t MaxBody = limits::MaxRequestBody;
   std::chrono::milliseconds SlowSender = limits::SlowSenderLimit;
-  /// Called when a connection has closed, on its loop.
+  /// Called on the connection's loop after it has closed.
   std::function<void(ConnectionHandle)> OnClosed;
 };
 
@@ -35,25 +36,25 @@
 public:
   Server(Loops &loops, ServerOptions options, Handler handler);
 
-  /// Listens. \return what is wrong with the address, if anything.
+  /// Starts to listen. \return why the address cannot be used, if so.
   std::error_code start();
   std::uint16_t port() const { return Port; }
-  /// Tells all connections to finish (GOAWAY) and accepts no more.
+  /// Graceful shutdown: sends GOAWAY on all connections and accepts no more.
   void drain();
-  /// Closes everything at once.
+  /// Closes all connections at once.
   void stop();
   std::size_t connections() const;
 
 private:
   friend class ServerConnection;
   void accept();
-  void adopt(asio::ip::tcp::socket socket, asio::io_context &loop);
-  void forget(ConnectionHandle it);
-  std::vector<std::shared_ptr<ServerConnection>> all() const;
+  void addConnection(asio::ip::tcp::socket socket, asio::io_context &loop);
+  void removeConnection(ConnectionHandle it);
+  std::vector<std::shared_ptr<ServerConnection>> openConnections() const;
 
   Loops &Pool;
   ServerOptions Options;
-  Handler Handle;
+  Handler OnRequest;
   std::unique_ptr<asio::ip::tcp::acceptor> Acceptor;
   asio::io_context *AcceptLoop = nullptr;
   std::uint16_t Port = 0;
@@ -62,7 +63,7 @@
   std::uint64_t LastConnection = 0;
 };
 
-/// \return the endpoint, or nothing where the text is no IP number and port.
+/// \return the endpoint, or nothing if the text is not an IP address and port.
 std::optional<asio::ip::tcp::endpoint> parseEndpoint(const std::string &text);
 
 } // namespace peridotfall::http
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-ServerConnection &from(void *self) {
+ServerConnection &connectionOf(void *self) {
   return *static_cast<ServerConnection *>(self);
 }
 
@@ -36,9 +36,9 @@
 }
 
 void ServerConnection::start() {
-  // A peer that connects and never shakes hands is cut by the same watch as
-  // a slow sender.
-  watchSenders();
+  // The timer for slow senders also closes a connection whose TLS handshake
+  // stalls.
+  startSenderTimer();
   Io->stream().handshake(true, [self = shared_from_this()](std::error_code ec) {
     self->HandshakeDone = true;
     if (ec) {
@@ -82,13 +82,13 @@
   if (frame->hd.type != NGHTTP2_HEADERS ||
       frame->headers.cat != NGHTTP2_HCAT_REQUEST)
     return 0;
-  auto &conn = from(self);
+  auto &conn = connectionOf(self);
   auto &it = conn.Exchanges[frame->hd.stream_id];
   it.In.Connection = conn.Handle;
   it.In.Peer = conn.Peer;
   it.In.Gone = std::make_shared<std::atomic<bool>>(false);
-  it.LastBytes = std::chrono::steady_clock::now();
-  conn.watchSenders();
+  it.LastReceived = std::chrono::steady_clock::now();
+  conn.startSenderTimer();
   return 0;
 }
 
@@ -97,20 +97,20 @@
                                const std::uint8_t *value,
                                std::size_t valueLength, std::uint8_t,
                                void *self) {
-  auto &conn = from(self);
+  auto &conn = connectionOf(self);
   if (auto *it = conn.find(frame->hd.stream_id))
-    conn.takeHeader(*it, frame->hd.stream_id,
-                    std::string(view(name, nameLength)),
-                    std::string(view(value, valueLength)));
+    conn.addHeader(*it, frame->hd.stream_id,
+                   std::string(view(name, nameLength)),
+                   std::string(view(value, valueLength)));
   return 0;
 }
 
 int ServerConnection::onData(nghttp2_session *, std::uint8_t,
                              std::int32_t stream, const std::uint8_t *data,
                              std::size_t length, void *self) {
-  auto &conn = from(self);
+  auto &conn = connectionOf(self);
   if (auto *it = conn.find(stream))
-    conn.takeBody(*it, stream, view(data, length));
+    conn.addBody(*it, stream, view(data, length));
   return 0;
 }
 
@@ -120,7 +120,7 @@
     return 0;
   if ((frame->hd.flags & NGHTTP2_FLAG_END_STREAM) == 0)
     return 0;
-  auto &conn = from(self);
+  auto &conn = connectionOf(self);
   auto *it = conn.find(frame->hd.stream_id);
   if (it && !it->Complete) {
     it->Complete = true;
@@ -132,7 +132,7 @@
 
 int ServerConnection::onStreamClosed(nghttp2_session *, std::int32_t stream,
                                      std::uint32_t, void *self) {
-  auto &conn = from(self);
+  auto &conn = connectionOf(self);
   auto it = conn.Exchanges.find(stream);
   if (it == conn.Exchanges.end())
     return 0;
@@ -141,10 +141,11 @@
   return 0;
 }
 
-/// A flood of headers would fill the memory of a small VM; the request is
-/// refused as soon as it passes the limit, and the rest is dropped.
-void ServerConnection::takeHeader(Exchange &it, std::int32_t stream,
-                                  std::string name, std::string value) {
+/// Unlimited headers could exhaust the memory of a small VM. The request is
+/// refused as soon as it exceeds the limit, and its further headers are
+/// dropped.
+void ServerConnection::addHeader(Exchange &it, std::int32_t stream,
+                                 std::string name, std::string value) {
   if (it.Refused)
     return;
   it.HeaderBytes += name.size() + value.size();
@@ -161,9 +162,9 @@
     it.In.Fields.push_back({std::move(name), std::move(value)});
 }
 
-void ServerConnection::takeBody(Exchange &it, std::int32_t stream,
-                                std::string_view bytes) {
-  it.LastBytes = std::chrono::steady_clock::now();
+void ServerConnection::addBody(Exchange &it, std::int32_t stream,
+                               std::string_view bytes) {
+  it.LastReceived = std::chrono::steady_clock::now();
   if (it.Refused)
     return;
   if (it.In.Body.size() + bytes.size() > Owner->Options.MaxBody) {
@@ -191,7 +192,7 @@
   };
   auto request = std::move(it.In);
   it.In.Gone = request.Gone;
-  Owner->Handle(std::move(request), std::move(respond));
+  Owner->OnRequest(std::move(request), std::move(respond));
 }
 
 void ServerConnection::respond(std::int32_t stream, Response response) {
@@ -204,18 +205,19 @@
   fields.insert(fields.end(), std::make_move_iterator(response.Fields.begin()),
                 std::make_move_iterator(response.Fields.end()));
   auto values = toNameValues(fields);
-  auto body = provide(it->Out);
+  auto body = makeDataProvider(it->Out);
   nghttp2_submit_response(Io->session(), stream, values.data(), values.size(),
                           it->Out.Bytes.empty() ? nullptr : &body);
   Io->flush();
 }
 
-/// Runs only while something is unfinished, so that idle connections cost no
-/// timer. A slow sender holds a stream and a buffer: it is cut.
-void ServerConnection::watchSenders() {
-  if (Watching)
+/// Closes the connection of a slow sender, which occupies a stream and a
+/// buffer. Runs only while a request or the handshake is incomplete, so that
+/// idle connections need no timer.
+void ServerConnection::startSenderTimer() {
+  if (SenderTimerRunning)
     return;
-  Watching = true;
+  SenderTimerRunning = true;
   SenderTimer.expires_after(Owner->Options.SlowSender / 4);
   SenderTimer.async_wait(
       [weak = weak_from_this(),
@@ -223,7 +225,7 @@
         auto self = weak.lock();
         if (ec || !self)
           return;
-        self->Watching = false;
+        self->SenderTimerRunning = false;
         auto limit =
             std::chrono::steady_clock::now() - self->Owner->Options.SlowSender;
         bool unfinished = !self->HandshakeDone;
@@ -231,13 +233,13 @@
           if (it.Complete)
             continue;
           unfinished = true;
-          if (it.LastBytes < limit) {
+          if (it.LastReceived < limit) {
             self->Io->close();
             return;
           }
         }
         if (unfinished)
-          self->watchSenders();
+          self->startSenderTimer();
       });
 }
 
@@ -245,8 +247,8 @@
   asio::post(Loop, [self = shared_from_this()] {
     if (!self->Io->isOpen())
       return;
-    // Streams above the last one taken are refused; these requests were not
-    // run and the caller may send them elsewhere.
+    // Streams above the last processed one are refused. Their requests were not
+    // run, so the caller may send them elsewhere.
     nghttp2_submit_goaway(
         self->Io->session(), NGHTTP2_FLAG_NONE,
         nghttp2_session_get_last_proc_stream_id(self->Io->session()),
@@ -268,7 +270,7 @@
   SenderTimer.cancel();
   for (auto &[stream, it] : Exchanges)
     it.In.Gone->store(true);
-  Owner->forget(Handle);
+  Owner->removeConnection(Handle);
   if (Owner->Options.OnClosed)
     Owner->Options.OnClosed(Handle);
 }
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// One accepted HTTP/2 connection. All its state is used on its loop only.
+/// One accepted HTTP/2 connection. Its state is accessed on its loop only.
 
 #ifndef PERIDOTFALL_HTTP_SERVER_CONNECTION_H
 #define PERIDOTFALL_HTTP_SERVER_CONNECTION_H
@@ -20,20 +20,20 @@
                    asio::ip::tcp::socket socket, asio::io_context &loop);
 
   void start();
-  /// From any thread.
+  /// Thread-safe.
   void drain();
-  /// From any thread.
+  /// Thread-safe.
   void stop();
 
 private:
   struct Exchange {
     Request In;
     std::size_t HeaderBytes = 0;
-    bool Refused = false;  ///< Answered before it was whole.
-    bool Complete = false; ///< The whole request is here.
+    bool Refused = false;  ///< Answered before it was complete.
+    bool Complete = false; ///< The whole request was received.
     bool Answered = false;
     BodySource Out;
-    std::chrono::steady_clock::time_point LastBytes;
+    std::chrono::steady_clock::time_point LastReceived;
   };
 
   static int onBegin(nghttp2_session *, const nghttp2_frame *, void *self);
@@ -49,13 +49,13 @@
 
   SessionPtr makeSession();
   Exchange *find(std::int32_t stream);
-  void takeHeader(Exchange &it, std::int32_t stream, std::string name,
-                  std::string value);
-  void takeBody(Exchange &it, std::int32_t stream, std::string_view bytes);
+  void addHeader(Exchange &it, std::int32_t stream, std::string name,
+                 std::string value);
+  void addBody(Exchange &it, std::int32_t stream, std::string_view bytes);
   void dispatch(std::int32_t stream, Exchange &it);
   void respond(std::int32_t stream, Response response);
   void refuse(std::int32_t stream, Exchange &it, int status);
-  void watchSenders();
+  void startSenderTimer();
   void closed();
 
   std::shared_ptr<Server> Owner;
@@ -65,7 +65,7 @@
   std::shared_ptr<Pump> Io;
   std::map<std::int32_t, Exchange> Exchanges;
   asio::steady_timer SenderTimer;
-  bool Watching = false;
+  bool SenderTimerRunning = false;
   bool HandshakeDone = false;
 };
 
--- a/src/http/status.h
+++ b/src/http/status.h
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP status codes, by name.
+/// HTTP status codes.
 
 #ifndef PERIDOTFALL_HTTP_STATUS_H
 #define PERIDOTFALL_HTTP_STATUS_H
--- a/src/http/stream.cpp
+++ b/src/http/stream.cpp
@@ -44,8 +44,8 @@
       });
 }
 
-/// Waits without a buffer and then reads into one of the thread, so that an
-/// idle connection holds none: most of millions of connections are idle.
+/// Waits without a buffer, then reads into a buffer of the thread. An idle
+/// connection needs no buffer: most of millions of connections are idle.
 void ByteStream::readPlain(ReadHandler done) {
   Plain->async_wait(
       asio::ip::tcp::socket::wait_read,
--- a/src/http/stream.h
+++ b/src/http/stream.h
@@ -28,11 +28,11 @@
   ByteStream(asio::ip::tcp::socket socket, TlsContext tls);
 
   asio::ip::tcp::socket &socket();
-  /// For TLS the handshake; else done at once.
+  /// Runs the TLS handshake. For plain TCP, calls \p done at once.
   void handshake(bool asServer, DoneHandler done);
-  /// Reads what is there. The bytes are valid only during the call.
+  /// Reads the available bytes. They are valid only during the callback.
   void read(ReadHandler done);
-  /// \param buf must live until the call back.
+  /// \param buf must stay valid until the callback.
   void write(asio::const_buffer buf, DoneHandler done);
   void close();
 
--- a/src/http/tls.cpp
+++ b/src/http/tls.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::array<unsigned char, 3> Http2 = {2, 'h', '2'};
 
-/// Takes HTTP/2 and nothing else; a peer that does not offer it is refused
-/// in the handshake, not by a protocol error later.
+/// Selects HTTP/2 only: a peer that does not offer it fails in the handshake
+/// instead of with a later protocol error.
 int selectHttp2(SSL *, const unsigned char **out, unsigned char *length,
                 const unsigned char *in, unsigned inLength, void *) {
   for (unsigned n = 0; n + Http2.size() <= inLength; n += in[n] + 1U) {
@@ -31,7 +31,7 @@
   return {ErrorCode::Invalid, what + " " + path + ": " + ec.message()};
 }
 
-Result<TlsContext> load(const TlsFiles &files, context::method method) {
+Result<TlsContext> makeContext(const TlsFiles &files, context::method method) {
   auto it = std::make_shared<context>(method);
   std::error_code ec;
   it->set_options(context::default_workarounds | context::no_sslv2 |
@@ -57,7 +57,7 @@
 } // namespace
 
 Result<TlsContext> makeServerTls(const TlsFiles &files) {
-  auto it = load(files, context::tls_server);
+  auto it = makeContext(files, context::tls_server);
   if (!it)
     return it;
   SSL_CTX_set_alpn_select_cb(it.value()->native_handle(), selectHttp2, nullptr);
@@ -68,7 +68,7 @@
 }
 
 Result<TlsContext> makeClientTls(const TlsFiles &files) {
-  auto it = load(files, context::tls_client);
+  auto it = makeContext(files, context::tls_client);
   if (!it)
     return it;
   SSL_CTX_set_alpn_protos(it.value()->native_handle(), Http2.data(),
--- a/src/http/tls.h
+++ b/src/http/tls.h
@@ -1,5 +1,5 @@
 /// \file
-/// TLS contexts: towards callers, and mutual TLS between daemons.
+/// TLS contexts: server TLS for callers, mutual TLS between daemons.
 
 #ifndef PERIDOTFALL_HTTP_TLS_H
 #define PERIDOTFALL_HTTP_TLS_H
@@ -11,21 +11,21 @@
 
 namespace peridotfall::http {
 
-/// Files in PEM form.
+/// Paths of PEM files.
 struct TlsFiles {
   std::string Certificate;
   std::string Key;
-  /// Authority that the other side's certificate must be signed by; empty: a
-  /// server asks for none, a client trusts the system's authorities.
+  /// Authority that must have signed the peer's certificate. Empty: a server
+  /// requests no certificate, a client trusts the system's authorities.
   std::string Authority;
 
   bool empty() const { return Certificate.empty() && Key.empty(); }
   auto operator<=>(const TlsFiles &) const = default;
 };
 
-/// \return a context for accepting, or which file is wrong.
+/// \return a context for a server, or an error that names the unusable file.
 Result<TlsContext> makeServerTls(const TlsFiles &files);
-/// \return a context for connecting, or which file is wrong.
+/// \return a context for a client, or an error that names the unusable file.
 Result<TlsContext> makeClientTls(const TlsFiles &files);
 
 } // namespace peridotfall::http
--- a/tests/http/fixture.h
+++ b/tests/http/fixture.h
@@ -1,5 +1,5 @@
 /// \file
-/// A server on loopback and ways to reach it, for tests of the transport.
+/// A server on the loopback interface and clients for it, for transport tests.
 
 #ifndef PERIDOTFALL_TESTS_HTTP_FIXTURE_H
 #define PERIDOTFALL_TESTS_HTTP_FIXTURE_H
@@ -19,18 +19,19 @@
 
 namespace peridotfall::http {
 
-/// Answers "/echo" at once with the body; keeps "/hold" until released.
+/// Answers "/echo" at once with the request's body, and "/hold" only after
+/// release().
 struct ServerFixture {
   explicit ServerFixture(ServerOptions options = {}) : Pool(2) {
     options.Address = "127.0.0.1:0";
-    Tested = std::make_shared<Server>(
+    TestServer = std::make_shared<Server>(
         Pool, options, [this](const Request &request, const Respond &respond) {
           handle(request, respond);
         });
-    REQUIRE_FALSE(Tested->start());
+    REQUIRE_FALSE(TestServer->start());
   }
   ~ServerFixture() {
-    Tested->stop();
+    TestServer->stop();
     Pool.stop();
   }
   ServerFixture(const ServerFixture &) = delete;
@@ -39,9 +40,9 @@
   void handle(const Request &request, const Respond &respond) {
     {
       std::lock_guard guard(Lock);
-      Seen.push_back(request);
+      Requests.push_back(request);
       if (request.Path == "/hold")
-        Held.push_back(respond);
+        HeldResponds.push_back(respond);
     }
     Changed.notify_all();
     if (request.Path != "/hold")
@@ -49,14 +50,14 @@
   }
 
   std::string address() const {
-    return "127.0.0.1:" + std::to_string(Tested->port());
+    return "127.0.0.1:" + std::to_string(TestServer->port());
   }
 
   std::shared_ptr<Channel> channel(ChannelOptions options = {}) {
     return std::make_shared<Channel>(Pool.next(), address(), options);
   }
 
-  /// Begins a call; the future has its result.
+  /// Starts a call. \return a future of its result.
   static std::future<CallResult>
   begin(Channel &channel, Request request,
         std::chrono::milliseconds limit = std::chrono::seconds(20)) {
@@ -76,26 +77,26 @@
     return it;
   }
 
-  void awaitSeen(std::size_t n) {
+  void awaitRequests(std::size_t n) {
     std::unique_lock guard(Lock);
-    Changed.wait(guard, [&] { return Seen.size() >= n; });
+    Changed.wait(guard, [&] { return Requests.size() >= n; });
   }
 
   void release() {
     std::lock_guard guard(Lock);
-    for (const auto &it : Held)
+    for (const auto &it : HeldResponds)
       it({200, {}, "released"});
-    Held.clear();
+    HeldResponds.clear();
   }
 
-  /// A bare connection, for what no proper client sends.
+  /// A raw TCP connection, to send what a conforming client does not.
   asio::ip::tcp::socket rawConnection() {
-    asio::ip::tcp::socket it(Bare);
-    it.connect({asio::ip::address_v4::loopback(), Tested->port()});
+    asio::ip::tcp::socket it(ClientLoop);
+    it.connect({asio::ip::address_v4::loopback(), TestServer->port()});
     return it;
   }
 
-  /// Reads until the server closes.
+  /// Reads until the server closes the connection.
   static std::string readToEnd(asio::ip::tcp::socket &socket) {
     std::string out;
     std::error_code ec;
@@ -104,12 +105,12 @@
   }
 
   Loops Pool;
-  asio::io_context Bare;
-  std::shared_ptr<Server> Tested;
+  asio::io_context ClientLoop;
+  std::shared_ptr<Server> TestServer;
   std::mutex Lock;
   std::condition_variable Changed;
-  std::vector<Request> Seen;
-  std::vector<Respond> Held;
+  std::vector<Request> Requests;
+  std::vector<Respond> HeldResponds;
 };
 
 inline constexpr char ClientPreface[] = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
--- a/tests/http/large_answer_test.cpp
+++ b/tests/http/large_answer_test.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t LargeBody = 128 << 10;
 const SteadyTime Start{std::chrono::seconds(1'000)};
 
-/// A server whose answers come slowly.
+/// A server that is called through a slow relay.
 struct SlowAnswerFixture : ServerFixture {
   CallResult callThrough(SlowRelay &relay, const AnswerLimits &limits) {
     auto slow = std::make_shared<Channel>(Pool.next(), relay.address(),
@@ -34,8 +34,8 @@
 
 } // namespace
 
-TEST_CASE("answer that keeps coming, is waited for beyond the limit of its "
-          "beginning") {
+TEST_CASE("answer that keeps arriving, first-byte limit passed, does not time "
+          "out") {
   constexpr milliseconds Begin{200};
   constexpr milliseconds Piece{100};
   AnswerProgress it(beginsWithin(Begin), Start);
@@ -45,18 +45,18 @@
   CHECK(it.deadline() == Start + 9 * Piece + limits::AnswerStall);
 }
 
-TEST_CASE("call with a limit on its whole answer, is given up then") {
+TEST_CASE("call with a limit on its whole answer, limit passed, times out") {
   constexpr milliseconds Whole{200};
   AnswerProgress it(wholeWithin(Whole), Start);
   it.received(Start + Whole / 2);
   CHECK(it.deadline() == Start + Whole);
 }
 
-// Guards against an answer on its way that is taken for silence.
+// Guards against a timeout while a large answer is still arriving.
 TEST_CASE_FIXTURE(SlowAnswerFixture,
-                  "large answer between daemons on a slow link, is received "
-                  "whole") {
-  SlowRelay relay(Tested->port(), {});
+                  "large answer between daemons, slow link, is received "
+                  "completely") {
+  SlowRelay relay(TestServer->port(), {});
   auto it = callThrough(relay, beginsWithin(milliseconds(300)));
   REQUIRE(it);
   CHECK(it.value().Body.size() == LargeBody);
@@ -64,13 +64,12 @@
   CHECK(it.value().Received.Took > milliseconds(300));
 }
 
-// Guards against a connection that falls silent in the middle of an answer.
-TEST_CASE_FIXTURE(
-    SlowAnswerFixture,
-    "large answer between daemons that stalls, is given up before "
-    "the limit of its beginning") {
+// Guards against waiting too long for an answer that stalls halfway.
+TEST_CASE_FIXTURE(SlowAnswerFixture,
+                  "large answer between daemons, stalls, times out before the "
+                  "first-byte limit") {
   constexpr milliseconds Begin{20'000};
-  SlowRelay relay(Tested->port(), RelayOptions{.StallAfter = 16 << 10});
+  SlowRelay relay(TestServer->port(), RelayOptions{.StallAfter = 16 << 10});
   auto began = std::chrono::steady_clock::now();
   auto it = callThrough(relay, beginsWithin(Begin));
   REQUIRE_FALSE(it);
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -10,8 +10,8 @@
       : ServerFixture({.SlowSender = std::chrono::milliseconds(100)}) {}
 };
 
-/// HEADERS without END_STREAM: a request whose body never comes. The block has
-/// POST, / and http of HPACK's static table, and a literal :authority "a".
+/// HEADERS without END_STREAM: a request whose body is never sent. The block
+/// has POST, / and http of HPACK's static table, and a literal :authority "a".
 const std::string UnfinishedRequest = {0, 0,      6,      1,      4, 0, 0,  0,
                                        1, '\x83', '\x84', '\x86', 1, 1, 'a'};
 /// The same with END_STREAM and the literal :path "/hold".
@@ -22,7 +22,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ServerFixture, "server, a request, answers it whole") {
+TEST_CASE_FIXTURE(ServerFixture,
+                  "server, request, answers with the whole body") {
   auto it = begin(*channel(), post("/echo", "body")).get();
   REQUIRE(it);
   CHECK(it.value().Status == 200);
@@ -30,24 +31,24 @@
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "server, a body over the limit, answers 413 and runs "
+                  "server, body over the limit, answers 413 and runs "
                   "nothing") {
   std::string big(limits::MaxRequestBody + 1, 'x');
   auto it = begin(*channel(), post("/echo", big)).get();
   REQUIRE(it);
   CHECK(it.value().Status == 413);
-  CHECK(Seen.empty());
+  CHECK(Requests.empty());
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "server, a flood of headers, answers 431 and runs nothing") {
+                  "server, too many headers, answers 431 and runs nothing") {
   auto request = post("/echo");
   for (std::size_t n = 0; n <= limits::MaxHeaderFields; ++n)
     request.Fields.push_back({"x-field-" + std::to_string(n), "v"});
   auto it = begin(*channel(), request).get();
   REQUIRE(it);
   CHECK(it.value().Status == 431);
-  CHECK(Seen.empty());
+  CHECK(Requests.empty());
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
@@ -58,71 +59,72 @@
   auto it = begin(*channel(), request).get();
   REQUIRE(it);
   CHECK(it.value().Status == 431);
-  CHECK(Seen.empty());
+  CHECK(Requests.empty());
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "server, bytes of another protocol, closes the connection") {
+                  "server, another protocol, closes the connection") {
   auto socket = rawConnection();
   asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
   readToEnd(socket);
-  CHECK(Seen.empty());
+  CHECK(Requests.empty());
 }
 
 TEST_CASE_FIXTURE(SlowSenderFixture,
-                  "server, a request whose body never comes, closes the "
+                  "server, request without its body, closes the "
                   "connection") {
-  // The caller sends the head of a request and then nothing. The stream and
-  // its buffer would be held for ever; after the limit the server closes.
+  // The caller sends a request's headers and nothing more. Without a limit the
+  // stream and its buffer would never be released.
   auto socket = rawConnection();
   asio::write(socket, asio::buffer(std::string(ClientPreface) + EmptySettings +
                                    UnfinishedRequest));
   readToEnd(socket);
-  CHECK(Seen.empty());
+  CHECK(Requests.empty());
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "server, a caller that closes half, closes and marks its "
-                  "work as given up") {
-  // The caller sends a whole request and closes its sending side. HTTP/2
-  // cannot go on without it, so the server closes the connection; work not
-  // yet begun is dropped by the mark.
+                  "server, caller half-closes the connection, closes it and "
+                  "marks the request as cancelled") {
+  // The caller sends a whole request and shuts down its sending side. HTTP/2
+  // needs both directions, so the server closes the connection. The flag makes
+  // the handler drop work that has not started.
   auto socket = rawConnection();
   asio::write(socket, asio::buffer(std::string(ClientPreface) + EmptySettings +
                                    HoldRequest));
-  awaitSeen(1);
-  auto gone = Seen[0].Gone;
+  awaitRequests(1);
+  auto gone = Requests[0].Gone;
   CHECK_FALSE(gone->load());
   socket.shutdown(asio::ip::tcp::socket::shutdown_send);
   readToEnd(socket);
-  while (Tested->connections() != 0)
+  while (TestServer->connections() != 0)
     std::this_thread::yield();
   CHECK(gone->load());
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
                   "server, drained with a request in flight, finishes it and "
-                  "takes no more") {
-  // A graceful shutdown: GOAWAY goes out while a request is held. The caller
-  // sees the whole answer; a later request is told that it was not sent.
+                  "accepts no more") {
+  // Graceful shutdown: GOAWAY is sent while a request is in flight. The caller
+  // receives the whole answer; a later request fails as not sent.
   auto open = channel({.Reconnect = false});
   auto result = begin(*open, post("/hold"));
-  awaitSeen(1);
-  Tested->drain();
+  awaitRequests(1);
+  TestServer->drain();
   release();
   auto it = result.get();
   REQUIRE(it);
   CHECK(it.value().Body == "released");
-  while (Tested->connections() != 0)
+  while (TestServer->connections() != 0)
     std::this_thread::yield();
   auto later = begin(*open, post("/echo")).get();
   REQUIRE_FALSE(later);
   CHECK(later.error().Kind == Failure::NotSent);
 }
 
-TEST_CASE_FIXTURE(ServerFixture, "channel, nobody listens, says not sent") {
-  // Bound and not listening: the port is taken, and connections are refused.
-  asio::ip::tcp::acceptor bound(Bare);
+TEST_CASE_FIXTURE(ServerFixture,
+                  "channel, connection refused, reports not sent") {
+  // Bound but not listening: the port stays reserved and refuses connections.
+  asio::ip::tcp::acceptor bound(ClientLoop);
   bound.open(asio::ip::tcp::v4());
   bound.bind({asio::ip::address_v4::loopback(), 0});
   auto address = "127.0.0.1:" + std::to_string(bound.local_endpoint().port());
@@ -133,21 +135,21 @@
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "channel, the connection lost in flight, says may have "
+                  "channel, connection lost in flight, reports may have "
                   "run") {
-  // The request has reached the server when the connection goes: the caller
-  // must not be told "not run".
+  // The request has reached the server when the connection closes: it must not
+  // be reported as not sent.
   auto open = channel();
   auto result = begin(*open, post("/hold"));
-  awaitSeen(1);
-  Tested->stop();
+  awaitRequests(1);
+  TestServer->stop();
   auto it = result.get();
   REQUIRE_FALSE(it);
   CHECK(it.error().Kind == Failure::MaybeRun);
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "channel, no answer in time, says may have run") {
+                  "channel, answer times out, reports may have run") {
   auto open = channel();
   auto result = begin(*open, post("/hold"), std::chrono::milliseconds(50));
   auto it = result.get();
@@ -156,7 +158,7 @@
 }
 
 TEST_CASE_FIXTURE(ServerFixture,
-                  "channel, many calls at once, each gets its own answer") {
+                  "channel, concurrent calls, each gets its own answer") {
   auto open = channel();
   std::vector<std::future<CallResult>> results;
   constexpr int Calls = 500;
--- a/tests/http/slow_relay.h
+++ b/tests/http/slow_relay.h
@@ -1,5 +1,5 @@
 /// \file
-/// A relay before a server that passes its answers on slowly.
+/// A TCP relay to a server that forwards the server's answers slowly.
 
 #ifndef PERIDOTFALL_TESTS_HTTP_SLOW_RELAY_H
 #define PERIDOTFALL_TESTS_HTTP_SLOW_RELAY_H
@@ -19,30 +19,30 @@
 
 struct RelayOptions {
   std::size_t PieceBytes = 4 << 10;
-  std::chrono::milliseconds Gap{15}; ///< Before each piece.
-  /// Bytes of answers after which nothing more is passed on.
+  std::chrono::milliseconds Gap{15}; ///< Delay before each piece.
+  /// Bytes of answers after which nothing more is forwarded.
   std::size_t StallAfter = std::numeric_limits<std::size_t>::max();
 };
 
-/// Serves one connection, on threads of its own.
+/// Relays one connection, on its own threads.
 class SlowRelay {
 public:
   SlowRelay(std::uint16_t serverPort, RelayOptions options)
       : Options(options), Acceptor(Loop, {asio::ip::address_v4::loopback(), 0}),
-        There(Loop), Here(Loop), Thread([this, serverPort] {
-          Acceptor.accept(Here);
-          There.connect({asio::ip::address_v4::loopback(), serverPort});
+        Upstream(Loop), Downstream(Loop), Thread([this, serverPort] {
+          Acceptor.accept(Downstream);
+          Upstream.connect({asio::ip::address_v4::loopback(), serverPort});
           Connected.set_value();
           std::thread requests([this] { passRequests(); });
           passAnswers();
           requests.join();
         }) {}
-  /// Ends the connection, which must have been made.
+  /// Waits until the connection was made, then closes it.
   ~SlowRelay() {
     Connected.get_future().wait();
     std::error_code ignored; // It may be closed already.
-    Here.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
-    There.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
+    Downstream.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
+    Upstream.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
     Thread.join();
   }
   SlowRelay(const SlowRelay &) = delete;
@@ -56,21 +56,21 @@
     std::array<char, 4 << 10> buf{};
     std::error_code ec;
     while (!ec) {
-      auto n = Here.read_some(asio::buffer(buf), ec);
+      auto n = Downstream.read_some(asio::buffer(buf), ec);
       if (!ec)
-        asio::write(There, asio::buffer(buf, n), ec);
+        asio::write(Upstream, asio::buffer(buf, n), ec);
     }
-    There.shutdown(asio::ip::tcp::socket::shutdown_both, ec);
+    Upstream.shutdown(asio::ip::tcp::socket::shutdown_both, ec);
   }
   void passAnswers() {
     std::string buf(Options.PieceBytes, '\0');
     std::error_code ec;
     for (std::size_t passed = 0; !ec;) {
-      auto n = There.read_some(asio::buffer(buf), ec);
+      auto n = Upstream.read_some(asio::buffer(buf), ec);
       std::this_thread::sleep_for(Options.Gap);
       auto most = std::min(n, Options.StallAfter - passed);
       if (!ec)
-        asio::write(Here, asio::buffer(buf, most), ec);
+        asio::write(Downstream, asio::buffer(buf, most), ec);
       passed += most;
     }
   }
@@ -78,9 +78,9 @@
   RelayOptions Options;
   asio::io_context Loop;
   asio::ip::tcp::acceptor Acceptor;
-  asio::ip::tcp::socket There;
-  asio::ip::tcp::socket Here;
-  std::promise<void> Connected; ///< From here on the sockets stay as they are.
+  asio::ip::tcp::socket Upstream;
+  asio::ip::tcp::socket Downstream;
+  std::promise<void> Connected; ///< The sockets are not replaced from here on.
   std::thread Thread;
 };
 
--- a/tests/http/tls_test.cpp
+++ b/tests/http/tls_test.cpp
@@ -12,8 +12,7 @@
 
 namespace {
 
-/// Makes a certificate that signs itself, so that each serves as its own
-/// authority.
+/// Creates a self-signed certificate, which is also its own authority.
 struct TestCertificate {
   explicit TestCertificate(const std::string &name) {
     auto dir = std::filesystem::temp_directory_path();
@@ -59,10 +58,11 @@
   TlsFiles Files;
 };
 
-/// The fleet's one certificate is its own authority; a stranger has another.
+/// The fleet shares one certificate, which is its authority; the foreign
+/// certificate has another authority.
 struct MutualTlsFixture {
   TestCertificate Fleet{"fleet"};
-  TestCertificate Stranger{"stranger"};
+  TestCertificate Foreign{"stranger"};
 
   TlsFiles mutual(const TestCertificate &own) const {
     auto it = own.Files;
@@ -74,7 +74,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(MutualTlsFixture,
-                  "mutual TLS, two of the fleet, answer each other") {
+                  "mutual TLS, both sides of the fleet, answers the request") {
   ServerFixture server({.Tls = makeServerTls(mutual(Fleet)).value()});
   auto open = server.channel({.Tls = makeClientTls(mutual(Fleet)).value()});
   auto it =
@@ -83,30 +83,31 @@
   CHECK(it.value().Body == "hello");
 }
 
-TEST_CASE_FIXTURE(MutualTlsFixture,
-                  "mutual TLS, a stranger's certificate, runs nothing") {
+TEST_CASE_FIXTURE(
+    MutualTlsFixture,
+    "mutual TLS, certificate of another authority, runs nothing") {
   ServerFixture server({.Tls = makeServerTls(mutual(Fleet)).value()});
-  auto open = server.channel({.Tls = makeClientTls(mutual(Stranger)).value()});
+  auto open = server.channel({.Tls = makeClientTls(mutual(Foreign)).value()});
   auto it =
       ServerFixture::begin(*open, ServerFixture::post("/echo", "hello")).get();
   CHECK_FALSE(it);
-  CHECK(server.Seen.empty());
+  CHECK(server.Requests.empty());
 }
 
 TEST_CASE_FIXTURE(MutualTlsFixture,
-                  "mutual TLS, a caller in plain text, runs nothing") {
+                  "mutual TLS, plain-text caller, runs nothing") {
   ServerFixture server({.Tls = makeServerTls(mutual(Fleet)).value()});
   auto open = server.channel();
   auto it =
       ServerFixture::begin(*open, ServerFixture::post("/echo", "hello")).get();
   CHECK_FALSE(it);
-  CHECK(server.Seen.empty());
+  CHECK(server.Requests.empty());
 }
 
 TEST_CASE_FIXTURE(MutualTlsFixture,
-                  "TLS files, a key of another certificate, are refused") {
-  TlsFiles files{Fleet.Files.Certificate, Stranger.Files.Key, ""};
+                  "TLS files, key of another certificate, are refused") {
+  TlsFiles files{Fleet.Files.Certificate, Foreign.Files.Key, ""};
   auto it = makeServerTls(files);
   REQUIRE_FALSE(it);
-  CHECK(it.error().Message.find(Stranger.Files.Key) != std::string::npos);
+  CHECK(it.error().Message.find(Foreign.Files.Key) != std::string::npos);
 }
