--- a/src/target/http_target.cpp
+++ b/src/target/http_target.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds ControlLimit{500};
-/// A frozen target must be noticed as fast as a dead one, so a probe is given
-/// up well before a primary is suspected.
-constexpr std::chrono::milliseconds StatusLimit{400};
-constexpr std::chrono::milliseconds ConnectWait{2'000};
+constexpr std::chrono::milliseconds ControlTimeout{500};
+/// Well below the time after which a primary is suspected, so that a frozen
+/// target is detected as fast as a crashed one.
+constexpr std::chrono::milliseconds StatusTimeout{400};
+constexpr std::chrono::milliseconds ConnectTimeout{2'000};
 
 using ChannelPtr = std::shared_ptr<http::Channel>;
 
@@ -64,13 +64,13 @@
   auto json = parseJson(result.value().Body);
   if (result.value().Status == http::StatusOk && json) {
     auto answer = answerFromJson(json.value());
-    // An answer to another request, late or crossed, must never be passed on
-    // as this one's: the caller would read somebody else's rows.
+    // A late or mixed-up answer to another request must not be forwarded: the
+    // caller would receive another caller's rows.
     if (answer && answer->Id == request.Id)
       return *answer;
   }
   return unknownOutcome(request, AnswerCode::ConnectionLost,
-                        "target: answer is not this request's");
+                        "target: answer does not match the request");
 }
 
 ConnectionPtr makeConnection(const ChannelPtr &channel) {
@@ -84,11 +84,11 @@
         });
   };
   it.Close = [channel] { channel->close(); };
-  it.IsOpen = [channel] { return !channel->isDead(); };
+  it.IsOpen = [channel] { return !channel->isTerminated(); };
   return std::make_shared<const Connection>(std::move(it));
 }
 
-/// The connections of one target, so that they can be closed together.
+/// The open connections to one target, so that they can be closed together.
 class Connections {
 public:
   void add(const ChannelPtr &channel) {
@@ -115,12 +115,12 @@
 void connect(asio::io_context &loop, const std::string &address,
              Connections &connections, OnConnection done) {
   http::ChannelOptions options;
-  // A transaction lives and dies with its connection.
+  // A transaction ends with its connection.
   options.Reconnect = false;
   auto channel = std::make_shared<http::Channel>(loop, address, options);
   connections.add(channel);
   channel->call(
-      post(ConnectPath, Json::object()), ConnectWait,
+      post(ConnectPath, Json::object()), ConnectTimeout,
       [channel, done = std::move(done)](const http::CallResult &result) {
         if (result && result.value().Status == http::StatusOk) {
           done(makeConnection(channel));
@@ -128,7 +128,7 @@
         }
         channel->close();
         done(Error{ErrorCode::Unavailable,
-                   result ? "target: refuses a connection"
+                   result ? "target: rejected the connection request"
                           : "target: " + result.error().Message});
       });
 }
@@ -136,7 +136,7 @@
 Control makeControl(const ChannelPtr &channel) {
   Control it;
   it.GetStatus = [channel](OnStatus done) {
-    callControl(channel, StatusPath, Json::object(), StatusLimit,
+    callControl(channel, StatusPath, Json::object(), StatusTimeout,
                 std::move(done));
   };
   it.AwaitPosition = [channel](Term term, Position position,
@@ -145,19 +145,19 @@
                 {{"term", term},
                  {"position", toJson(position)},
                  {"waitMs", wait.count()}},
-                wait + ControlLimit, std::move(done));
+                wait + ControlTimeout, std::move(done));
   };
   it.Fence = [channel](Term term, OnStatus done) {
-    callControl(channel, FencePath, {{"term", term}}, ControlLimit,
+    callControl(channel, FencePath, {{"term", term}}, ControlTimeout,
                 std::move(done));
   };
   it.Promote = [channel](Term term, OnStatus done) {
-    callControl(channel, PromotePath, {{"term", term}}, ControlLimit,
+    callControl(channel, PromotePath, {{"term", term}}, ControlTimeout,
                 std::move(done));
   };
   it.Follow = [channel](Term term, const std::string &address, OnStatus done) {
     callControl(channel, FollowPath, {{"term", term}, {"address", address}},
-                ControlLimit, std::move(done));
+                ControlTimeout, std::move(done));
   };
   return it;
 }
--- a/src/target/http_target.h
+++ b/src/target/http_target.h
@@ -1,6 +1,6 @@
 /// \file
-/// A target over HTTP/2 and JSON. Each scarce connection is a TCP connection
-/// of its own; control calls share one more.
+/// Client of a target that serves HTTP/2 and JSON. Each statement connection is
+/// a separate TCP connection; the control calls share another one.
 
 #ifndef PERIDOTFALL_TARGET_HTTP_TARGET_H
 #define PERIDOTFALL_TARGET_HTTP_TARGET_H
--- a/src/target/target.h
+++ b/src/target/target.h
@@ -1,6 +1,6 @@
 /// \file
-/// A target of a database group, as an aggregate of functions: the transport
-/// behind it can be exchanged.
+/// Interface of a target of a database group, as an aggregate of functions, so
+/// that the transport can be replaced.
 
 #ifndef PERIDOTFALL_TARGET_TARGET_H
 #define PERIDOTFALL_TARGET_TARGET_H
@@ -16,15 +16,15 @@
 
 namespace peridotfall::target {
 
-/// What a target says of itself.
+/// The state that a target reports.
 struct Status {
-  Term CurrentTerm = 0; ///< Highest accepted; lower statements are refused.
+  Term CurrentTerm = 0; ///< Highest accepted; lower terms are refused.
   bool IsPrimary = false;
   Position Last;         ///< Last record of its log, with that record's term.
-  Position Applied;      ///< Last record that its readers see.
-  std::string Following; ///< Address of the primary it copies from.
+  Position Applied;      ///< Last record visible to reads.
+  std::string Following; ///< Address of the primary that it replicates.
   bool Leaving = false;
-  Duration Age{}; ///< Bound on how old its readers' view is.
+  Duration Age{}; ///< Upper bound on the staleness of its reads.
 
   auto operator<=>(const Status &) const = default;
 };
@@ -32,33 +32,36 @@
 using OnStatus = std::function<void(Result<Status>)>;
 using OnAnswer = std::function<void(StatementAnswer)>;
 
-/// Calls that need none of the scarce connections. Errors: Unavailable (not
-/// sent), Unknown, Conflict (the target has accepted a higher term).
+/// Control calls, which use none of the target's limited connections. Errors:
+/// Unavailable (not sent), Unknown, Conflict (the target has accepted a higher
+/// term).
 struct Control {
   std::function<void(OnStatus)> GetStatus;
-  /// Answers when the target's last record is of \p term and its log holds
-  /// \p position, or with its status when \p wait is over.
+  /// Answers when the target's last record is of \p term and its log contains
+  /// \p position, or with its status after \p wait.
   std::function<void(Term term, Position position,
                      std::chrono::milliseconds wait, OnStatus)>
       AwaitPosition;
-  /// Accepts the term: nothing of a lower one is taken from then on.
+  /// Makes the target accept the term and reject all lower terms from then on.
   std::function<void(Term term, OnStatus)> Fence;
-  /// Becomes primary of a term it has accepted; writes a start-of-term record.
+  /// Makes the target primary of a term that it has accepted. It writes a
+  /// start-of-term record.
   std::function<void(Term term, OnStatus)> Promote;
-  /// Copies the log of the primary of this term, dropping a tail that the
-  /// primary does not have.
+  /// Makes the target replicate the log of this term's primary and truncate
+  /// records that the primary does not have.
   std::function<void(Term term, std::string address, OnStatus)> Follow;
 };
 
-/// One of the scarce connections: one statement, or one transaction, at once.
+/// One of the target's limited connections. Runs one statement or one
+/// transaction at a time.
 struct Connection {
-  /// The call back runs once. A lost connection answers ConnectionLost with
-  /// Outcome::Unknown where bytes may have left.
+  /// The callback runs once. A lost connection answers ConnectionLost with
+  /// Outcome::Unknown if bytes may have been sent.
   std::function<void(const StatementRequest &, std::chrono::milliseconds limit,
                      OnAnswer)>
       Execute;
   std::function<void()> Close;
-  /// Whether it may be used again.
+  /// \return whether the connection can be used again.
   std::function<bool()> IsOpen;
 };
 
@@ -68,8 +71,8 @@
 struct Api {
   Control Calls;
   std::function<void(OnConnection)> Connect;
-  /// Closes all connections; statements in flight end as lost at once. May be
-  /// null: then they end at their own limits.
+  /// Closes all connections; statements in flight fail at once as lost. May be
+  /// null: then they end at their own time limits.
   std::function<void()> Disconnect;
 };
 
--- a/src/target/wire.cpp
+++ b/src/target/wire.cpp
@@ -30,10 +30,11 @@
   return row;
 }
 
-/// Runs a reader of a document from the other side; the library throws where
-/// a field has another type.
+/// Runs \p read on a document from the peer. The JSON library throws if a field
+/// is missing or has another type.
 template <class Read>
-auto guarded(const Json &json, Read read) -> std::optional<decltype(read())> {
+auto readObject(const Json &json, Read read)
+    -> std::optional<decltype(read())> {
   if (!json.is_object())
     return std::nullopt;
   try {
@@ -59,7 +60,7 @@
         else if constexpr (std::is_same_v<T, Blob>)
           return {{"base64", encodeBase64Url(it.Bytes)}};
         else if constexpr (std::is_same_v<T, double>) {
-          // JSON has no infinities; they travel by name.
+          // JSON has no infinities or NaN; they are sent as strings.
           if (!std::isfinite(it))
             return {{"real", std::isnan(it) ? "nan" : it > 0 ? "inf" : "-inf"}};
           return it;
@@ -143,7 +144,7 @@
     it.Traceparent = json.value("traceparent", "");
     return it;
   };
-  auto out = guarded(json, read);
+  auto out = readObject(json, read);
   auto params =
       out ? rowFromJson(json.value("params", Json::array())) : std::nullopt;
   if (!params)
@@ -182,7 +183,7 @@
     it.Replayed = json.at("replayed").get<bool>();
     return it;
   };
-  auto out = guarded(json, read);
+  auto out = readObject(json, read);
   if (!out || !json.contains("rows"))
     return std::nullopt;
   for (const auto &it : json["rows"]) {
@@ -202,7 +203,7 @@
 }
 
 std::optional<Status> statusFromJson(const Json &json) {
-  return guarded(json, [&] {
+  return readObject(json, [&] {
     Status it;
     it.CurrentTerm = json.at("term").get<std::uint64_t>();
     it.IsPrimary = json.at("primary").get<bool>();
--- a/src/target/wire.h
+++ b/src/target/wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// The JSON forms of the target's HTTP protocol, for both of its sides.
+/// JSON encoding of the target's HTTP protocol, for client and server.
 
 #ifndef PERIDOTFALL_TARGET_WIRE_H
 #define PERIDOTFALL_TARGET_WIRE_H
@@ -17,9 +17,10 @@
 inline constexpr auto PromotePath = "/promote";
 inline constexpr auto FollowPath = "/follow";
 
-/// A value as JSON: null, whole number, real, text, or {"base64": "..."}.
+/// Encodes a value as null, integer, real, string, {"base64": "..."}, or
+/// {"real": "inf" | "-inf" | "nan"}.
 Json toJson(const Value &it);
-/// \return nothing where the JSON stands for no value.
+/// \return nothing if the JSON encodes no value.
 std::optional<Value> valueFromJson(const Json &it);
 Json toJson(const Row &row);
 
