--- a/src/platform/backoff.cpp
+++ b/src/platform/backoff.cpp
@@ -5,8 +5,8 @@
 namespace peridotfall::platform {
 
 Duration Backoff::failed() {
-  constexpr unsigned MostDoublings = 20;
-  auto doublings = std::min(Failures++, MostDoublings);
+  constexpr unsigned MaxDoublings = 20;
+  auto doublings = std::min(Failures++, MaxDoublings);
   auto delay = std::min(Options.Longest,
                         Options.First * (Duration::rep(1) << doublings));
   std::uniform_int_distribution<Duration::rep> upperHalf(delay.count() / 2,
@@ -14,11 +14,11 @@
   return Duration(upperHalf(Random));
 }
 
-bool CallBudget::take(TimePoint now) {
-  if (now > At) {
-    auto passed = std::chrono::duration<double>(now - At).count();
+bool CallBudget::tryAcquire(TimePoint now) {
+  if (now > LastRefill) {
+    auto passed = std::chrono::duration<double>(now - LastRefill).count();
     Tokens = std::min(Burst, Tokens + passed * PerSecond);
-    At = now;
+    LastRefill = now;
   }
   if (Tokens < 1)
     return false;
--- a/src/platform/backoff.h
+++ b/src/platform/backoff.h
@@ -1,6 +1,6 @@
 /// \file
-/// When to call the platform again after a failure, and how often at most.
-/// Decisions only: the clock is passed in and chance comes from a seed.
+/// Retry delays and rate limits of calls to the platform. Makes no calls: the
+/// time is passed in and the randomness is seeded.
 
 #ifndef PERIDOTFALL_PLATFORM_BACKOFF_H
 #define PERIDOTFALL_PLATFORM_BACKOFF_H
@@ -12,11 +12,12 @@
 
 namespace peridotfall::platform {
 
-/// Load: 1,700 daemons whose calls all fail at the same moment. Harm: they
-/// come back together and hold a recovering platform down. The first delay is
-/// near the platform's answer time, the longest is short enough that a
-/// recovery is noticed within half a minute; each delay is drawn from its
-/// upper half, which spreads the fleet without ever giving a zero delay.
+/// Delays of an exponential backoff with jitter. If the calls of all 1,700
+/// daemons fail at once, simultaneous retries would overload a recovering
+/// platform. The first delay is close to the platform's response time; the
+/// longest lets a daemon detect a recovery within half a minute. Each delay is
+/// drawn from the upper half of its range, which spreads the retries and is
+/// never zero.
 struct BackoffOptions {
   Duration First = std::chrono::milliseconds(200);
   Duration Longest = std::chrono::seconds(20);
@@ -27,7 +28,7 @@
   Backoff(BackoffOptions options, std::uint64_t seed)
       : Options(options), Random(seed) {}
 
-  /// \return how long to wait before the next attempt.
+  /// Counts a failure. \return the delay before the next attempt.
   Duration failed();
   void succeeded() { Failures = 0; }
   unsigned failures() const { return Failures; }
@@ -38,14 +39,14 @@
   unsigned Failures = 0;
 };
 
-/// Rates a daemon may use of the platform.
+/// Rate limits of one daemon's calls to the platform.
 ///
-/// Load: 1,700 daemons share several hundred writes and 2,000 reads a second
-/// with all other users. Harm: one faulty loop in each daemon would use the
-/// platform up for everyone, failovers included. Limits: 0.6 reads and 0.1
-/// writes a second and daemon are 1,020 and 170 over the fleet, about half of
-/// what the platform takes; the bursts let one daemon start, or act in a
-/// failover of several groups, without waiting.
+/// 1,700 daemons share several hundred writes and 2,000 reads a second with all
+/// other users. Without a limit, a faulty loop in each daemon would exhaust the
+/// platform for everyone, failovers included. 0.6 reads and 0.1 writes a second
+/// per daemon are 1,020 and 170 for the fleet, about half of the platform's
+/// capacity. The bursts allow a daemon to start, or to act in a failover of
+/// several groups, without waiting.
 struct BudgetOptions {
   double ReadsPerSecond = 0.6;
   double ReadBurst = 60;
@@ -53,20 +54,20 @@
   double WriteBurst = 60;
 };
 
-/// A token bucket over virtual or real time.
+/// A token bucket. The time passed in may be virtual.
 class CallBudget {
 public:
   CallBudget(double perSecond, double burst)
       : PerSecond(perSecond), Burst(burst), Tokens(burst) {}
 
-  /// \return whether a call may be made now; it is then counted.
-  bool take(TimePoint now);
+  /// \return whether a call may be made now; if so, it uses a token.
+  bool tryAcquire(TimePoint now);
 
 private:
   double PerSecond;
   double Burst;
   double Tokens;
-  TimePoint At{};
+  TimePoint LastRefill{};
 };
 
 } // namespace peridotfall::platform
--- a/src/platform/guarded.h
+++ b/src/platform/guarded.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's API with a budget, counts, and changes that survive a lost
-/// answer.
+/// The platform's API with a call budget, call counts, and conditional updates
+/// that tolerate a lost answer.
 
 #ifndef PERIDOTFALL_PLATFORM_GUARDED_H
 #define PERIDOTFALL_PLATFORM_GUARDED_H
@@ -15,28 +15,28 @@
 
 namespace peridotfall::platform {
 
-/// Calls made by this process. A waiting watch is one.
+/// Calls made by this process. A waiting watch counts as one call.
 struct CallCounts {
   std::atomic<std::uint64_t> Gets{0};
   std::atomic<std::uint64_t> Puts{0};
   std::atomic<std::uint64_t> Watches{0};
   std::atomic<std::uint64_t> Lists{0};
-  std::atomic<std::uint64_t> Refused{0}; ///< By the budget; never sent.
-  std::atomic<std::uint64_t> Failed{0};  ///< No answer, or not in time.
+  std::atomic<std::uint64_t> Refused{0}; ///< Over the budget; not sent.
+  std::atomic<std::uint64_t> Failed{0};  ///< Not sent, or not answered.
 };
 
 struct GuardOptions {
   BackoffOptions Retry;
   BudgetOptions Budget;
-  /// Longest time in which a change is tried and read back.
+  /// Longest time in which a Put is retried and read back.
   std::chrono::milliseconds PutLimit{10'000};
   std::uint64_t Seed = 1;
 };
 
-/// Calls beyond the budget answer Unavailable at once: they were not sent. A
-/// Put is sent again and read back until its outcome is known or PutLimit is
-/// over; its value has to carry an identifier of its own. \param clock has to
-/// outlive the returned functions.
+/// Calls over the budget answer Unavailable at once and are not sent. A Put is
+/// retried and read back until its outcome is known or PutLimit has passed; its
+/// value must contain a unique identifier.
+/// \param clock must outlive the returned functions.
 Api makeGuarded(Api inner, asio::io_context &loop, const Clock &clock,
                 const GuardOptions &options,
                 const std::shared_ptr<CallCounts> &counts);
--- a/src/platform/http_platform.cpp
+++ b/src/platform/http_platform.cpp
@@ -21,7 +21,7 @@
     return {ErrorCode::NotFound, "platform: no such object"};
   if (status == http::StatusConflict)
     return {ErrorCode::Conflict, "platform: another version is stored"};
-  // A failing platform may have made the change before it failed.
+  // The platform may have stored the change before it failed.
   return {ErrorCode::Unknown, fmt::format("platform: status {}", status)};
 }
 
--- a/src/platform/http_platform.h
+++ b/src/platform/http_platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform over HTTP/2 and JSON.
+/// Client of the platform's HTTP/2 and JSON API.
 ///
 ///     GET  /objects/KEY                    200 {version, value} | 404
 ///     PUT  /objects/KEY?expected=N         200 {version} | 409
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's object API and list of VMs, as an aggregate of functions:
-/// the transport behind it can be exchanged.
+/// Interface of the platform's object store and list of VMs, as an aggregate of
+/// functions, so that the transport can be replaced.
 
 #ifndef PERIDOTFALL_PLATFORM_PLATFORM_H
 #define PERIDOTFALL_PLATFORM_PLATFORM_H
@@ -16,14 +16,14 @@
 
 namespace peridotfall::platform {
 
-/// Keys of the objects that are ours.
+/// Keys of the objects that this project stores.
 inline constexpr auto ConfigurationKey = "peridotfall/configuration";
 inline constexpr auto AnswersKey = "peridotfall/answers";
 /// \return the key of a database group's object: its term and successors.
 std::string groupKey(const DatabaseName &database);
 
 struct Object {
-  std::uint64_t Version = 0; ///< 0: does not exist.
+  std::uint64_t Version = 0; ///< 0: the object does not exist.
   std::string Value;
 
   auto operator<=>(const Object &) const = default;
@@ -32,7 +32,7 @@
 using OnObject = std::function<void(Result<Object>)>;
 using OnMembers = std::function<void(Result<std::vector<Member>>)>;
 
-/// Each call back runs once, on any thread. Errors: NotFound, Conflict,
+/// Each callback runs once, on any thread. Errors: NotFound, Conflict,
 /// Unavailable (not sent), Unknown (the change may have taken effect).
 struct Api {
   std::function<void(std::string key, OnObject)> Get;
@@ -40,12 +40,12 @@
   std::function<void(std::string key, std::uint64_t expected, std::string value,
                      OnObject)>
       Put;
-  /// Answers once the version is above \p after, or when \p wait is over,
-  /// then with the version as it is. Counts as a call while it waits.
+  /// Answers as soon as the version is above \p after, or after \p wait with
+  /// the current version. Counts as one call while it waits.
   std::function<void(std::string key, std::uint64_t after,
                      std::chrono::milliseconds wait, OnObject)>
       Watch;
-  /// The platform's list of VMs, which lags.
+  /// The platform's list of VMs, which may be out of date.
   std::function<void(OnMembers)> ListVms;
 };
 
--- a/src/platform/settlement.cpp
+++ b/src/platform/settlement.cpp
@@ -19,7 +19,7 @@
     MaybeStored = true;
     return Step::ReadBack;
   case ErrorCode::Conflict:
-    // An earlier attempt may be what this one met.
+    // The conflicting version may be that of an earlier attempt.
     return MaybeStored ? Step::ReadBack : finish(answer);
   default:
     return finish(answer);
@@ -36,8 +36,8 @@
     return Step::SendAgain;
   if (now.Version > Expected + 1)
     return finish(Error{ErrorCode::Unknown,
-                        "platform: replaced since; whether this change was "
-                        "stored in between cannot be told"});
+                        "platform: the object was replaced since; it is "
+                        "unknown whether this change was stored in between"});
   if (now.Value == Value)
     return finish(now);
   return finish(
@@ -48,9 +48,11 @@
   if (Answer)
     return *Answer;
   if (MaybeStored)
-    return Error{ErrorCode::Unknown, "platform: no answer in time; the change "
-                                     "may have been stored"};
-  return Error{ErrorCode::Unavailable, "platform: not reached in time"};
+    return Error{ErrorCode::Unknown,
+                 "platform: no answer within the time limit; "
+                 "the change may have been stored"};
+  return Error{ErrorCode::Unavailable,
+               "platform: not reachable within the time limit"};
 }
 
 } // namespace peridotfall::platform
--- a/src/platform/settlement.h
+++ b/src/platform/settlement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settles what became of a conditional update whose answer was lost.
+/// Determines the outcome of a conditional update whose answer was lost.
 
 #ifndef PERIDOTFALL_PLATFORM_SETTLEMENT_H
 #define PERIDOTFALL_PLATFORM_SETTLEMENT_H
@@ -10,13 +10,14 @@
 
 namespace peridotfall::platform {
 
-/// A conditional update under way. The value has to carry an identifier of
-/// its own, so that equal text means the same change.
+/// State machine of a conditional update. The value must contain a unique
+/// identifier, so that equal values mean the same change.
 ///
-/// Failure: the platform makes the change and its answer is lost. Symptom: a
-/// blind retry meets the new version, and the writer takes its own change for
-/// that of another. Reading back suffices: at version expected + 1 there is
-/// exactly one change, and its text says whose it is.
+/// The platform may store the change while its answer is lost. A blind retry
+/// would then conflict with the new version, and the writer would mistake its
+/// own change for another writer's. Reading the object back is sufficient:
+/// exactly one change has version expected + 1, and its value identifies the
+/// writer.
 class PutSettlement {
 public:
   PutSettlement(std::uint64_t expected, std::string value)
@@ -24,11 +25,12 @@
 
   enum class Step { Done, ReadBack, SendAgain };
 
-  /// What to do after an answer of the update itself.
+  /// \return the next step after the update's answer.
   Step afterPut(const Result<Object> &answer);
-  /// What to do after the object was read back.
+  /// \return the next step after the object was read back.
   Step afterReadBack(const Result<Object> &stored);
-  /// The result once a step was Done, or when the caller gives up.
+  /// \return the result after a step returned Done, or the provisional result
+  /// if the caller stops earlier.
   Result<Object> result() const;
 
   std::uint64_t expected() const { return Expected; }
--- a/tests/platform/guarded_test.cpp
+++ b/tests/platform/guarded_test.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// What happens to the next changes at the fake platform.
+/// Faults injected into the next Put calls to the fake platform.
 enum class Fault { None, LoseAnswer, LoseRequest, Unreachable };
 
 struct GuardedFixture {
   ManualClock Time;
   asio::io_context Loop;
   std::map<std::string, Object> Stored;
-  std::vector<Fault> Faults; ///< Taken from the back.
+  std::vector<Fault> Faults; ///< Consumed from the back.
   std::shared_ptr<CallCounts> Counts = std::make_shared<CallCounts>();
   GuardOptions Options;
 
@@ -73,10 +73,10 @@
 
 } // namespace
 
-// The writer's change takes effect, and its answer is lost. Without reading
-// back the writer sends again, meets its own version and reports a conflict.
+// The change is stored and its answer is lost. Without a read-back, the retry
+// conflicts with the writer's own version and is reported as a conflict.
 TEST_CASE_FIXTURE(GuardedFixture,
-                  "change, answer lost after the effect, is accepted") {
+                  "change, stored but answer lost, is accepted") {
   Faults = {Fault::LoseAnswer};
   auto unguarded = fake();
   std::optional<Result<Object>> first;
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE_FIXTURE(GuardedFixture,
-                  "change, request lost or platform down, is sent again") {
+                  "change, request lost or platform down, is retried") {
   Faults = {Fault::Unreachable, Fault::LoseRequest, Fault::Unreachable};
   auto it = put(guarded(), 0, "mine");
   REQUIRE(it);
@@ -101,10 +101,11 @@
   CHECK(Counts->Puts == 4);
 }
 
-// Our answer is lost, and another operator's change of the same version was
-// first: ours did not take effect, and the writer is told so.
-TEST_CASE_FIXTURE(GuardedFixture,
-                  "change, answer lost and another was first, is a conflict") {
+// The answer is lost, and another operator's change to the same version was
+// stored first: the change had no effect and is reported as a conflict.
+TEST_CASE_FIXTURE(
+    GuardedFixture,
+    "change, answer lost and another stored first, is a conflict") {
   Stored["k"] = {1, "theirs"};
   Faults = {Fault::LoseAnswer};
   auto it = put(guarded(), 0, "mine");
@@ -112,8 +113,8 @@
   CHECK(it.error().Code == ErrorCode::Conflict);
 }
 
-// Ours may have been version 1 before another became version 2: neither yes
-// nor no would be true.
+// The change may have been version 1 before another became version 2, so
+// neither success nor conflict can be reported.
 TEST_CASE_FIXTURE(GuardedFixture,
                   "change, answer lost and replaced since, stays unknown") {
   Stored["k"] = {2, "theirs"};
@@ -123,8 +124,9 @@
   CHECK(it.error().Code == ErrorCode::Unknown);
 }
 
-TEST_CASE_FIXTURE(GuardedFixture,
-                  "change, platform down past the limit, was not sent") {
+TEST_CASE_FIXTURE(
+    GuardedFixture,
+    "change, platform down past the limit, is reported as not sent") {
   Options.PutLimit = 0ms;
   Faults = {Fault::Unreachable};
   auto it = put(guarded(), 0, "mine");
@@ -132,10 +134,10 @@
   CHECK(it.error().Code == ErrorCode::Unavailable);
 }
 
-// A loop in each of 1,700 daemons lists the VMs without pause for a minute of
-// virtual time. The platform takes 2,000 reads a second.
+// A faulty loop in each of 1,700 daemons lists the VMs ten times a second for
+// ten minutes of virtual time. The platform's capacity is 2,000 reads a second.
 TEST_CASE_FIXTURE(GuardedFixture,
-                  "budget, endless calls, holds the fleet's rate") {
+                  "budget, endless calls, limits the fleet's rate") {
   auto api = guarded();
   constexpr int Seconds = 600;
   std::uint64_t refused = 0;
@@ -148,7 +150,7 @@
   CHECK((sent - Options.Budget.ReadBurst) / Seconds * 1'700 < 1'100);
 }
 
-TEST_CASE("backoff, failures in a row, grows to its limit and is spread") {
+TEST_CASE("backoff, consecutive failures, grows to its limit with jitter") {
   BackoffOptions options;
   Backoff a(options, 1);
   Backoff b(options, 2);
--- a/tests/platform/http_platform_test.cpp
+++ b/tests/platform/http_platform_test.cpp
@@ -17,25 +17,25 @@
 
 constexpr std::size_t LargeValue = 128 << 10;
 
-/// A platform whose one object is large, on a slow link.
+/// A platform that serves one large object.
 struct SlowPlatformFixture {
   http::Loops Pool{2};
-  std::shared_ptr<http::Server> There;
+  std::shared_ptr<http::Server> PlatformServer;
 
   SlowPlatformFixture() {
     http::ServerOptions options;
     options.Address = "127.0.0.1:0";
-    There = std::make_shared<http::Server>(
+    PlatformServer = std::make_shared<http::Server>(
         Pool, options, [](const http::Request &, const http::Respond &respond) {
           respond({http::StatusOk,
                    {},
                    R"({"version":7,"value":")" + std::string(LargeValue, 'x') +
                        R"("})"});
         });
-    REQUIRE_FALSE(There->start());
+    REQUIRE_FALSE(PlatformServer->start());
   }
   ~SlowPlatformFixture() {
-    There->stop();
+    PlatformServer->stop();
     Pool.stop();
   }
   SlowPlatformFixture(const SlowPlatformFixture &) = delete;
@@ -44,11 +44,11 @@
 
 } // namespace
 
-// Guards against an answer on its way that is taken for silence.
+// Guards against a timeout while a large answer is still arriving.
 TEST_CASE_FIXTURE(
     SlowPlatformFixture,
-    "large object of the platform on a slow link, is read whole") {
-  SlowRelay relay(There->port(), {});
+    "large object of the platform, slow link, is read completely") {
+  SlowRelay relay(PlatformServer->port(), {});
   platform::HttpOptions options;
   options.Address = relay.address();
   options.CallLimit = milliseconds(300);
--- a/tests/platform/run.py
+++ b/tests/platform/run.py
@@ -1,6 +1,6 @@
-"""Runs daemons on a stand-in platform, breaks things, and checks what callers
-see: every acknowledged write is in the log exactly once, no read lacks the
-own write, nothing that was refused as not run is in the log.
+"""Runs daemons on a stand-in platform, injects faults, and checks the results
+of the callers: every acknowledged write is in the log exactly once, no read
+misses the caller's own write, and no write refused as not run is in the log.
 
 Usage: run.py DAEMON [SECONDS [SEED]]; DAEMON is the program's path.
 """
@@ -19,9 +19,9 @@
 
 STORE, PROVIDER, TARGETS, DAEMONS = 7600, 7601, 7610, 7620
 ZONES = {"press": "tartu", "depot": "tartu", "desk": "tallinn"}
-UNREAD = "press"  # Nobody reads what this zone's daemon logs.
-CLOSED = "desk"  # And this one's standard output is closed.
-PIPE_BYTES = 4096  # Full after some thirty lines.
+UNREAD = "press"  # The log pipe of this zone's daemon is never read.
+CLOSED = "desk"  # The log pipe of this zone's daemon has no reader.
+PIPE_BYTES = 4096  # Full after about thirty lines.
 LONGEST_LINE = 512
 SETTINGS_REJECTED = "PF1006"
 NOT_RUN = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "CONNLIMIT"}
@@ -71,7 +71,7 @@
 
 
 class Caller:
-    """One session at a time; each write's data is used once."""
+    """Runs one session at a time; each write's data is unique."""
 
     def __init__(self, number, ports, seed):
         self.number = number
@@ -81,8 +81,8 @@
         self.database = ""
         self.count = 0
         self.item = f"item-{number}"
-        self.last = "-"  # Acknowledged to this caller.
-        self.unsure = set()  # Outcome unknown since then.
+        self.last = "-"  # Last data acknowledged to this caller.
+        self.unsure = set()  # Data of writes whose outcome is unknown.
         self.acknowledged = []
         self.refused = []
         self.stale = []
@@ -175,7 +175,7 @@
 
 
 class World:
-    """The stand-ins and the daemons, each a process."""
+    """The stand-ins, and the daemons as processes."""
 
     def __init__(self, program, folder):
         self.program = program
@@ -242,7 +242,7 @@
         await self.until_ready(port + 1)
 
     def open_log(self, zone):
-        """A log that is not read must not keep a daemon from serving."""
+        """A log that is not read must not block a daemon."""
         if zone == UNREAD:
             self.unread, end = os.pipe()
             fcntl.fcntl(end, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
@@ -255,7 +255,7 @@
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
     def log_is_full(self):
-        """Whether the pipe that nobody reads has no room for a line."""
+        """Whether the unread pipe has no room for another line."""
         waiting = fcntl.ioctl(self.unread, termios.FIONREAD, bytes(4))
         return int.from_bytes(waiting, sys.byteorder) > PIPE_BYTES - LONGEST_LINE
 
@@ -294,7 +294,7 @@
         raise RuntimeError("a daemon does not get ready")
 
     def reload_unusable(self, zone):
-        """The settings file is damaged; what is in force must stay."""
+        """Damages the settings file; the active settings must stay in force."""
         with open(os.path.join(self.folder, f"{zone}.yaml"), "w") as file:
             file.write("node_name: [")
         self.processes[zone].send_signal(signal.SIGHUP)
@@ -310,7 +310,7 @@
 
 
 async def trouble(world, seconds):
-    """Each fault once, in turn."""
+    """Injects each fault once, one after the other."""
     step = seconds / 6
     world.reload_unusable("depot")
     await asyncio.sleep(step)
@@ -319,7 +319,7 @@
     await asyncio.sleep(step)
     old = world.group.targets["i-press"]
     await old.start()
-    # With no wait in between: a commit after the copy reaches it too.
+    # No await in between: a commit after the copy is replicated to it too.
     old.log = list(world.group.newest().log)
     world.group.announce(old)
     world.store.away = True
--- a/tests/platform/store.py
+++ b/tests/platform/store.py
@@ -1,7 +1,7 @@
-"""A small stand-in of the platform: its object store and its promote call.
+"""A small stand-in for the platform's object store, and an HTTP server.
 
-HTTP/1.1 with JSON bodies. Objects have a kind and a name; every change gets
-the next revision; a watch waits for changes after a revision.
+Uses HTTP/1.1 with JSON bodies. Objects have a kind and a name. Every change
+has the next revision; a watch waits for changes after a given revision.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 PREFIX = "/peridotfall/objects/"
-PAGE = 2  # Small, so that every list has several pages.
+PAGE = 2  # Small, so that lists have several pages.
 
 
 class Store:
@@ -21,7 +21,7 @@
         self.away = False  # Accepts connections and answers nothing.
 
     def put(self, kind, name, spec):
-        """Creates or replaces an object, as its writer does."""
+        """Creates or replaces an object without a revision check."""
         self.revision += 1
         old = self.objects.setdefault(kind, {}).get(name)
         created = old["meta"]["created_rev"] if old else self.revision
@@ -133,6 +133,6 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            writer.close()  # The client has gone, or the run is over.
+            writer.close()  # The client has closed, or the run has ended.
 
     return await asyncio.start_server(connection, "127.0.0.1", port)
--- a/tests/platform/targets.py
+++ b/tests/platform/targets.py
@@ -1,8 +1,7 @@
-"""A stand-in of one group of targets: a primary and replicas over one log.
+"""A stand-in for one group of targets: a primary and replicas of one log.
 
-A replica receives each commit as it is made, so that nothing acknowledged is
-lost by a promotion; a target that was crashed answers nothing and comes back
-with its log as a replica.
+Replication is synchronous, so that a promotion loses no acknowledged write. A
+crashed target does not answer; it restarts as a replica with its log.
 """
 
 import asyncio
@@ -52,7 +51,7 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            pass  # The other side has gone; what was open is rolled back.
+            pass  # The peer has closed; its open transaction is rolled back.
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -72,13 +71,13 @@
                 return
             _, request, text = line.split(" ", 2)
             if text.split(" ")[0] in ("READ", "WRITE", "EXECUTE", "COMMIT"):
-                await asyncio.sleep(0.002)  # Its work.
+                await asyncio.sleep(0.002)  # Simulated execution time.
             writer.write(session.run(request, text).encode())
             await writer.drain()
 
 
 class Session:
-    """One connection's state, and what its statements do."""
+    """State of one connection, and the execution of its statements."""
 
     def __init__(self, target):
         self.target = target
@@ -187,7 +186,7 @@
 
 
 class Group:
-    """The targets of one log, and who leads."""
+    """The targets of one log, one of them the primary."""
 
     def __init__(self, name, store):
         self.name = name
