--- a/src/http/message.h
+++ b/src/http/message.h
@@ -52,7 +52,8 @@
 /// out: a retry would transfer all of it again and saturate the link.
 struct AnswerLimits {
   std::chrono::milliseconds Begin{}; ///< Until the answer's first byte.
-  /// Longest gap between bytes. Zero: Begin limits the whole answer.
+  /// Longest gap between bytes. Zero: the limit above is that of the whole
+  /// answer.
   std::chrono::milliseconds Stall{};
 
   auto operator<=>(const AnswerLimits &) const = default;
