--- a/include/peridotfall/clock.h
+++ b/include/peridotfall/clock.h
@@ -1,5 +1,5 @@
 /// \file
-/// Time as an interface, so that decisions run under a virtual clock in tests.
+/// Clock interface, so that tests can use a virtual clock.
 
 #ifndef PERIDOTFALL_CLOCK_H
 #define PERIDOTFALL_CLOCK_H
@@ -18,21 +18,22 @@
   virtual TimePoint now() const = 0;
 };
 
-/// The machine's monotonic clock.
+/// The system's monotonic clock; it stops while the machine is suspended.
 class SystemClock final : public Clock {
 public:
   TimePoint now() const override { return std::chrono::steady_clock::now(); }
 };
 
-/// The machine's monotonic clock that also counts while it is suspended.
-/// Ages that a promise rests on take it: a position read before a suspension
-/// of four seconds would look fresh by the other clock.
+/// The system's monotonic clock that also advances while the machine is
+/// suspended. Ages that a freshness guarantee depends on are measured with it:
+/// by SystemClock, a position read before a suspension of four seconds would
+/// still look fresh.
 class SuspendAwareClock final : public Clock {
 public:
   TimePoint now() const override;
 };
 
-/// A clock that moves only when told to.
+/// A clock that moves only by advance(); for tests.
 class ManualClock final : public Clock {
 public:
   TimePoint now() const override { return Now; }
--- a/include/peridotfall/names.h
+++ b/include/peridotfall/names.h
@@ -1,5 +1,5 @@
 /// \file
-/// Typed names and handles in place of bare strings and integers.
+/// Strongly typed names and handles.
 
 #ifndef PERIDOTFALL_NAMES_H
 #define PERIDOTFALL_NAMES_H
@@ -12,7 +12,7 @@
 
 namespace peridotfall {
 
-/// A name that cannot be mixed up with a name of another kind.
+/// A name that does not convert to a name of another kind.
 template <class Tag> struct Name {
   std::string Value;
 
@@ -30,7 +30,8 @@
 using KindName = Name<struct KindTag>; ///< A kind of request.
 using CallerName = Name<struct CallerTag>;
 
-/// A number that cannot be mixed up with a number of another kind.
+/// An integer handle that does not convert to a handle of another kind. Zero is
+/// invalid.
 template <class Tag> struct Handle {
   std::uint64_t Value = 0;
 
@@ -39,14 +40,14 @@
 };
 
 using RequestId = Handle<struct RequestTag>;
-using TicketHandle = Handle<struct TicketTag>; ///< A place in a queue.
+using TicketHandle = Handle<struct TicketTag>; ///< An entry in a queue.
 using ConnectionHandle = Handle<struct ConnectionTag>;
 
-/// The term of a database group; each change of primary has a higher one.
+/// The term of a database group; it increases with each change of primary.
 using Term = std::uint64_t;
 
-/// A place in a group's log. Compared by term first: a longer log of an older
-/// term is not the newer one.
+/// A position in a group's log. Ordered by term first, since a longer log of an
+/// older term is not newer.
 struct Position {
   Term InTerm = 0;
   std::uint64_t Index = 0;
--- a/include/peridotfall/result.h
+++ b/include/peridotfall/result.h
@@ -1,5 +1,5 @@
 /// \file
-/// Errors: a typed error for one operation, and findings for whole documents.
+/// Error types: an error for one operation, and findings for whole documents.
 
 #ifndef PERIDOTFALL_RESULT_H
 #define PERIDOTFALL_RESULT_H
@@ -11,45 +11,44 @@
 
 namespace peridotfall {
 
-/// What went wrong, for code that decides by it.
+/// Machine-readable kind of an error.
 enum class ErrorCode {
-  Invalid,     ///< The input does not follow its format.
-  Forged,      ///< A signature does not match.
-  UnknownKey,  ///< Signed with a key this process does not have.
-  NotFound,    ///< The named thing does not exist.
-  Conflict,    ///< A conditional update met another version.
-  Unavailable, ///< The other side cannot be reached; nothing was sent.
-  Unknown,     ///< Sent, and no answer came: the outcome is unknown.
+  Invalid,     ///< The input is malformed.
+  Forged,      ///< The signature does not match.
+  UnknownKey,  ///< Signed with a key that this process does not have.
+  NotFound,    ///< The requested object does not exist.
+  Conflict,    ///< A conditional update found another version.
+  Unavailable, ///< The peer cannot be reached; nothing was sent.
+  Unknown,     ///< Sent without an answer; the outcome is unknown.
 };
 
-/// An error with a sentence for people.
 struct Error {
   ErrorCode Code = ErrorCode::Invalid;
-  std::string Message;
+  std::string Message; ///< Human-readable.
 
   auto operator<=>(const Error &) const = default;
 };
 
-/// A value or an error. Reading the wrong side throws.
+/// A value or an error. Access to the one that is not set throws.
 template <class T> using Result = BOOST_OUTCOME_V2_NAMESPACE::checked<T, Error>;
 
-/// One thing wrong in a document, with its place.
+/// One error in a document, with its location.
 struct Finding {
-  std::string Place;    ///< A JSON pointer, a flag or a variable's name.
-  std::string Expected; ///< What would have been accepted.
-  std::string Found;    ///< What stands there, shortened.
+  std::string Place;    ///< JSON pointer, or name of a flag or a variable.
+  std::string Expected; ///< What is accepted.
+  std::string Found;    ///< The value found, shortened.
 
   auto operator<=>(const Finding &) const = default;
 };
 
 using Findings = std::vector<Finding>;
 
-/// A parsed document, or everything that is wrong with it.
+/// A parsed document, or all errors found in it.
 template <class T>
 using Parsed = BOOST_OUTCOME_V2_NAMESPACE::checked<T, Findings>;
 
-/// One line for people.
-/// \param source the file or other origin the findings belong to.
+/// \return the finding as one human-readable line.
+/// \param source file or other origin of the document.
 std::string describe(const Finding &finding, const std::string &source);
 
 } // namespace peridotfall
--- a/include/peridotfall/statement.h
+++ b/include/peridotfall/statement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Statements and their answers, as all hops see them.
+/// Statements and their answers, as passed between all hops.
 
 #ifndef PERIDOTFALL_STATEMENT_H
 #define PERIDOTFALL_STATEMENT_H
@@ -16,7 +16,7 @@
 
 namespace peridotfall {
 
-/// Bytes, as opposed to text.
+/// A binary value.
 struct Blob {
   std::string Bytes;
 
@@ -30,43 +30,43 @@
 using Value = std::variant<Null, std::int64_t, double, std::string, Blob>;
 using Row = std::vector<Value>;
 
-/// What a statement may see and do.
+/// Access mode of a statement.
 enum class Access : std::uint8_t {
-  Write,     ///< Runs on the primary and is confirmed before it is answered.
+  Write,     ///< Runs on the primary, is confirmed before the answer.
   FreshRead, ///< Sees the session's own writes.
-  StaleRead, ///< May be old, up to the tolerance of its kind.
+  StaleRead, ///< May be stale, up to the tolerance of its kind.
 };
 
 enum class Verb : std::uint8_t { Statement, Begin, Commit, Rollback };
 
-/// What is known of a request's effect.
+/// Whether a request took effect.
 enum class Outcome : std::uint8_t {
-  Done,    ///< Ran; the answer is whole.
-  NotRun,  ///< Had and will have no effect.
-  Unknown, ///< May have run, or may yet run.
+  Done,    ///< Ran; the answer is complete.
+  NotRun,  ///< Had no effect and will have none.
+  Unknown, ///< May have run, or may still run.
 };
 
-/// Why an answer is what it is.
+/// Status of an answer.
 enum class AnswerCode : std::uint8_t {
   Ok,
-  SqlError,        ///< The target refused the statement itself.
-  Behind,          ///< The target has not reached the position asked for.
-  NotPrimary,      ///< A write or a transaction met a target that follows.
-  Fenced,          ///< The target knows a higher term.
-  NotOwner,        ///< The daemon asked does not own the target.
-  Overloaded,      ///< Refused by admission.
-  DeadlinePassed,  ///< No time left to run it.
+  SqlError,        ///< The target rejected the statement itself.
+  Behind,          ///< The target has not reached the requested position.
+  NotPrimary,      ///< A write or transaction was sent to a replica.
+  Fenced,          ///< The target has seen a higher term.
+  NotOwner,        ///< The daemon does not own the target.
+  Overloaded,      ///< Rejected by admission control.
+  DeadlinePassed,  ///< No time left to run the statement.
   UnknownDatabase, ///< Not in the configuration.
-  BadRequest,      ///< Not understood.
+  BadRequest,      ///< The request is malformed.
   Unavailable,     ///< The target or its owner cannot be reached.
-  ConnectionLost,  ///< Lost after bytes left.
+  ConnectionLost,  ///< The connection broke after bytes were sent.
   NotConfirmed,    ///< Committed on the primary, not yet on a replica.
-  TransactionGone, ///< No transaction of this name here.
-  KeyExpired,      ///< Older than its key is kept.
+  TransactionGone, ///< No open transaction has this handle.
+  KeyExpired,      ///< Older than the retention of idempotency keys.
   KeyMismatch,     ///< The key was used for another statement.
-  PositionLost,    ///< No surviving log has the session's position.
+  PositionLost,    ///< No remaining log has the session's position.
   Draining,        ///< The daemon is shutting down.
-  Busy,            ///< The target's connections or locks are taken.
+  Busy,            ///< The target's connections or locks are in use.
 };
 
 struct StatementRequest {
@@ -77,52 +77,52 @@
   CallerName Caller;
   KindName Kind;
   Access Mode = Access::Write;
-  Term InTerm = 0;    ///< Term the sender believes in; 0: any.
-  Position NotBefore; ///< Least position the target must hold.
-  Duration MaxAge{};  ///< Of a stale read.
-  /// A read that only the primary may answer, and only confirmed.
+  Term InTerm = 0;    ///< Term known to the sender; 0: any.
+  Position NotBefore; ///< Minimum position of the target.
+  Duration MaxAge{};  ///< Maximum age of a stale read's data.
+  /// A read that only the primary may answer, and only with confirmed data.
   bool PrimaryOnly = false;
   std::string Sql;
   Row Params;
   std::string Key;         ///< Idempotency key; empty: none.
-  bool Repeatable = false; ///< May be sent again after an unknown outcome.
+  bool Repeatable = false; ///< May be retried after an unknown outcome.
   std::string Transaction; ///< Handle of an open transaction; empty: none.
-  Duration Budget{};       ///< Time left when it was sent.
+  Duration Budget{};       ///< Time left when the request was sent.
   std::string Traceparent;
 
   bool operator==(const StatementRequest &) const = default;
 };
 
 struct StatementAnswer {
-  RequestId Id; ///< Equals the request's; a crossed answer is found by it.
+  RequestId Id; ///< The request's; detects answers to other requests.
   Outcome Effect = Outcome::NotRun;
   AnswerCode Code = AnswerCode::Unavailable;
-  std::string Detail; ///< For people.
+  std::string Detail; ///< Human-readable.
   std::vector<std::string> Columns;
   std::vector<Row> Rows;
   std::int64_t Changes = 0;
   Position At; ///< Position of the target after the statement.
   TargetName ServedBy;
-  TargetName Primary;      ///< Hint: who leads, if known.
-  Duration Age{};          ///< Bound on how old a replica's answer is.
-  bool Replayed = false;   ///< Found under its key; not run again.
+  TargetName Primary;      ///< Hint: the primary, if known.
+  Duration Age{};          ///< Upper bound on the age of a replica's answer.
+  bool Replayed = false;   ///< Recorded answer of its key; not run again.
   std::string Transaction; ///< Handle, in the answer to Begin.
   std::optional<Duration> RetryAfter;
 
   bool operator==(const StatementAnswer &) const = default;
 };
 
-/// Short stable names, used in problem answers, metrics and logs.
+/// Short stable names, used in problem details, metrics and logs.
 std::string toString(Outcome it);
 std::string toString(AnswerCode it);
 std::string toString(Access it);
 
-/// \return an answer that says "not run", with the reason.
+/// \return an answer with Outcome::NotRun and the reason.
 StatementAnswer notRun(const StatementRequest &request, AnswerCode code,
                        std::string detail,
                        std::optional<Duration> retryAfter = std::nullopt);
 
-/// \return an answer that says the outcome is unknown, with the reason.
+/// \return an answer with Outcome::Unknown and the reason.
 StatementAnswer unknownOutcome(const StatementRequest &request, AnswerCode code,
                                std::string detail);
 
--- a/src/base/document.cpp
+++ b/src/base/document.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::size_t ExcerptLength = 40;
+constexpr std::size_t ExcerptLength = 40; ///< Characters.
 
 const Json EmptyList = Json::array();
 const Json EmptyObject = Json::object();
 
-/// Rejects a repeated name: the library would keep the last one silently.
+/// Detects duplicate names: the library would silently keep the last one.
 struct DuplicateCheck {
   std::vector<std::set<std::string>> Names;
   std::string Repeated;
@@ -31,8 +31,8 @@
   }
 };
 
-std::string unsignedRange(std::uint64_t least, std::uint64_t most) {
-  return fmt::format("a whole number from {} to {}", least, most);
+std::string unsignedRange(std::uint64_t min, std::uint64_t max) {
+  return fmt::format("a whole number from {} to {}", min, max);
 }
 
 } // namespace
@@ -55,17 +55,17 @@
   return it.size() <= ExcerptLength ? it : it.substr(0, ExcerptLength) + "...";
 }
 
-ObjectReader::ObjectReader(const Json &object, std::string place,
+ObjectReader::ObjectReader(const Json &object, std::string location,
                            Findings &findings)
     : Object(object.is_object() ? object : EmptyObject),
-      Place(std::move(place)), Report(findings) {
+      Location(std::move(location)), Report(findings) {
   if (!object.is_object())
     Report.push_back(
-        {Place.empty() ? "/" : Place, "an object", excerpt(object)});
+        {Location.empty() ? "/" : Location, "an object", excerpt(object)});
 }
 
 std::string ObjectReader::placeOf(const std::string &field) const {
-  return Place + "/" + field;
+  return Location + "/" + field;
 }
 
 void ObjectReader::report(const std::string &field, std::string expected,
@@ -103,29 +103,29 @@
   return text(field);
 }
 
-std::uint64_t ObjectReader::number(const char *field, std::uint64_t least,
-                                   std::uint64_t most) {
-  auto expected = unsignedRange(least, most);
+std::uint64_t ObjectReader::number(const char *field, std::uint64_t min,
+                                   std::uint64_t max) {
+  auto expected = unsignedRange(min, max);
   const Json *it = find(field, true, expected.c_str());
   if (!it)
-    return least;
+    return min;
   if (it->is_number_unsigned()) {
     auto n = it->get<std::uint64_t>();
-    if (n >= least && n <= most)
+    if (n >= min && n <= max)
       return n;
   }
   report(field, expected, excerpt(*it));
-  return least;
+  return min;
 }
 
-std::uint64_t ObjectReader::numberOr(const char *field, std::uint64_t least,
-                                     std::uint64_t most,
+std::uint64_t ObjectReader::numberOr(const char *field, std::uint64_t min,
+                                     std::uint64_t max,
                                      std::uint64_t fallback) {
   if (!Object.contains(field)) {
     Known.emplace_back(field);
     return fallback;
   }
-  return number(field, least, most);
+  return number(field, min, max);
 }
 
 bool ObjectReader::flagOr(const char *field, bool fallback) {
--- a/src/base/document.h
+++ b/src/base/document.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reading JSON documents with every finding collected, each with its place.
+/// Reads JSON documents and collects all errors, each with its location.
 
 #ifndef PERIDOTFALL_BASE_DOCUMENT_H
 #define PERIDOTFALL_BASE_DOCUMENT_H
@@ -15,30 +15,29 @@
 
 using Json = nlohmann::json;
 
-/// Parses strictly; duplicates of a name and text after the end are findings.
+/// Parses strictly; duplicate names and trailing text are findings.
 Parsed<Json> parseJson(const std::string &text);
 
-/// One object of a document. Fields that are missing or of another type
-/// become findings, and reading goes on with a default, so that one pass
-/// reports everything.
+/// Reads one object of a document. A field that is missing or has the wrong
+/// type becomes a finding and reads as a default, so that one pass reports all
+/// errors.
 class ObjectReader {
 public:
-  ObjectReader(const Json &object, std::string place, Findings &findings);
+  ObjectReader(const Json &object, std::string location, Findings &findings);
 
   std::string text(const char *field);
   std::string textOr(const char *field, std::string fallback);
-  std::uint64_t number(const char *field, std::uint64_t least,
-                       std::uint64_t most);
-  std::uint64_t numberOr(const char *field, std::uint64_t least,
-                         std::uint64_t most, std::uint64_t fallback);
+  std::uint64_t number(const char *field, std::uint64_t min, std::uint64_t max);
+  std::uint64_t numberOr(const char *field, std::uint64_t min,
+                         std::uint64_t max, std::uint64_t fallback);
   bool flagOr(const char *field, bool fallback);
   /// \return the array, or an empty one.
   const Json &list(const char *field);
-  /// \return the array, or an empty one also where there is no such field.
+  /// \return the array, or an empty one; the field is optional.
   const Json &listOr(const char *field);
   /// \return the object, or an empty one.
   const Json &object(const char *field);
-  /// Reports fields that no call has read: a misspelt name must not be
+  /// Reports fields that no call has read, so that a misspelt name is not
   /// silently ignored.
   void finish();
 
@@ -50,7 +49,7 @@
   const Json *find(const char *field, bool required, const char *expected);
 
   const Json &Object;
-  std::string Place;
+  std::string Location;
   Findings &Report;
   std::vector<std::string> Known;
 };
--- a/src/base/encoding.cpp
+++ b/src/base/encoding.cpp
@@ -31,18 +31,18 @@
 std::string encodeBase64Url(const std::string &bytes) {
   std::string out;
   out.reserve((bytes.size() * 4 + 2) / 3);
-  std::uint32_t acc = 0;
-  int bits = 0;
+  std::uint32_t buffer = 0;
+  int pendingBits = 0;
   for (unsigned char c : bytes) {
-    acc = (acc << 8) | c;
-    bits += 8;
-    while (bits >= 6) {
-      bits -= 6;
-      out += Alphabet[(acc >> bits) & 63];
+    buffer = (buffer << 8) | c;
+    pendingBits += 8;
+    while (pendingBits >= 6) {
+      pendingBits -= 6;
+      out += Alphabet[(buffer >> pendingBits) & 63];
     }
   }
-  if (bits > 0)
-    out += Alphabet[(acc << (6 - bits)) & 63];
+  if (pendingBits > 0)
+    out += Alphabet[(buffer << (6 - pendingBits)) & 63];
   return out;
 }
 
@@ -51,21 +51,21 @@
     return std::nullopt;
   std::string out;
   out.reserve(text.size() * 3 / 4);
-  std::uint32_t acc = 0;
-  int bits = 0;
+  std::uint32_t buffer = 0;
+  int pendingBits = 0;
   for (char c : text) {
     int v = valueOf(c);
     if (v < 0)
       return std::nullopt;
-    acc = (acc << 6) | static_cast<std::uint32_t>(v);
-    bits += 6;
-    if (bits >= 8) {
-      bits -= 8;
-      out += static_cast<char>((acc >> bits) & 255);
+    buffer = (buffer << 6) | static_cast<std::uint32_t>(v);
+    pendingBits += 6;
+    if (pendingBits >= 8) {
+      pendingBits -= 8;
+      out += static_cast<char>((buffer >> pendingBits) & 255);
     }
   }
-  // Left-over bits must be zero, or two texts would stand for one value.
-  if ((acc & ((1U << bits) - 1)) != 0)
+  // The remaining bits must be zero, so that each value has one encoding.
+  if ((buffer & ((1U << pendingBits) - 1)) != 0)
     return std::nullopt;
   return out;
 }
@@ -73,7 +73,7 @@
 std::string randomHex(std::size_t bytes) {
   std::vector<unsigned char> buf(bytes);
   if (RAND_bytes(buf.data(), static_cast<int>(bytes)) != 1)
-    throw std::runtime_error("no randomness from the system");
+    throw std::runtime_error("RAND_bytes failed to get random bytes");
   std::string out;
   for (unsigned char c : buf)
     out += fmt::format("{:02x}", c);
--- a/src/base/encoding.h
+++ b/src/base/encoding.h
@@ -9,11 +9,11 @@
 
 namespace peridotfall {
 
-/// RFC 4648 section 5, without padding.
+/// Base64url as in RFC 4648 section 5, without padding.
 std::string encodeBase64Url(const std::string &bytes);
 std::optional<std::string> decodeBase64Url(const std::string &text);
 
-/// \param bytes of entropy; the text is twice as long.
+/// \param bytes number of random bytes; the text is twice as long.
 std::string randomHex(std::size_t bytes);
 
 } // namespace peridotfall
