--- a/src/telemetry/events.cpp
+++ b/src/telemetry/events.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-std::atomic<Level> LeastLevel{Level::Info};
+std::atomic<Level> MinLevel{Level::Info};
 
-/// One count an event, in the order of the list; far above its length.
-constexpr std::size_t MostEvents = 256;
-std::array<std::atomic<std::uint64_t>, MostEvents> Counts{};
+/// Counters of all events, in the order of the list; must exceed its length.
+constexpr std::size_t MaxEvents = 256;
+std::array<std::atomic<std::uint64_t>, MaxEvents> Counts{};
 
 constexpr std::string_view LevelNames[] = {"debug", "info", "warning", "error"};
 
-std::string quoted(const std::string &value) {
+std::string quote(const std::string &value) {
   if (!value.empty() &&
       value.find_first_of(" \"=\n\r\t\\") == std::string::npos)
     return value;
@@ -72,7 +72,7 @@
   return std::nullopt;
 }
 
-void setLevel(Level least) { LeastLevel = least; }
+void setLevel(Level min) { MinLevel = min; }
 
 std::optional<Level> parseLevel(std::string_view text) {
   for (auto it : {Level::Debug, Level::Info, Level::Warning, Level::Error})
@@ -87,7 +87,7 @@
   const auto &all = allEvents();
   for (std::size_t n = 0; n < all.size(); ++n)
     if (all[n].Number == event.Number)
-      return Counts[n % MostEvents].load();
+      return Counts[n % MaxEvents].load();
   return 0;
 }
 
@@ -100,23 +100,24 @@
   return it;
 }
 
-std::string lineOf(const EventInfo &info, std::initializer_list<Field> fields) {
+std::string formatLine(const EventInfo &info,
+                       std::initializer_list<Field> fields) {
   auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now());
   auto millis = now.time_since_epoch().count() % 1000;
   auto line = fmt::format(
       "time={:%Y-%m-%dT%H:%M:%S}.{:03}Z level={} event=PF{} msg={}",
       fmt::gmtime(std::chrono::system_clock::to_time_t(now)), millis,
-      toString(info.Severity), info.Number, quoted(std::string(info.Name)));
+      toString(info.Severity), info.Number, quote(std::string(info.Name)));
   for (const auto &it : fields)
-    line += fmt::format(" {}={}", it.Name, quoted(it.Value));
+    line += fmt::format(" {}={}", it.Name, quote(it.Value));
   return line;
 }
 
-/// One line for each event of which too many came in the last second.
-void writeLeftOut(const std::vector<LeftOut> &all) {
+/// Logs one line for each event that exceeded the line limit.
+void writeSuppressed(const std::vector<SuppressedLines> &all) {
   for (const auto &it : all)
-    writeLine(lineOf(
+    writeLine(formatLine(
         infoOf(Event::LinesLeftOut),
         {field("of", fmt::format("PF{}", allEvents()[it.Event].Number)),
          field("lines", it.Lines), field("dropped_in_all", droppedLines())}));
@@ -126,21 +127,21 @@
 
 void log(Event event, std::initializer_list<Field> fields) {
   const auto &info = infoOf(event);
-  auto place = static_cast<std::size_t>(&info - allEvents().data());
-  ++Counts[place % MostEvents];
-  if (info.Severity < LeastLevel.load())
+  auto index = static_cast<std::size_t>(&info - allEvents().data());
+  ++Counts[index % MaxEvents];
+  if (info.Severity < MinLevel.load())
     return;
   bool admitted = false;
-  std::vector<LeftOut> leftOut;
+  std::vector<SuppressedLines> suppressed;
   {
     std::lock_guard guard(LimiterLock);
     auto now = SystemClock().now();
-    leftOut = limiter().takeLeftOut(now);
-    admitted = limiter().admit(place, now);
+    suppressed = limiter().drainSuppressed(now);
+    admitted = limiter().admit(index, now);
   }
-  writeLeftOut(leftOut);
+  writeSuppressed(suppressed);
   if (admitted || hasLineSink())
-    writeLine(lineOf(info, fields));
+    writeLine(formatLine(info, fields));
 }
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/events.h
+++ b/src/telemetry/events.h
@@ -1,7 +1,7 @@
 /// \file
-/// Numbered events, written as key=value lines to standard output. The
-/// letter of the users asks for standard output; it goes before the brief.
-/// docs/EVENTS.md and `peridotfall explain` are made from this list.
+/// Numbered log events, written as key=value lines to standard output; the
+/// users' requirement of standard output takes precedence over the brief.
+/// docs/EVENTS.md and `peridotfall explain` are generated from events.def.
 
 #ifndef PERIDOTFALL_TELEMETRY_EVENTS_H
 #define PERIDOTFALL_TELEMETRY_EVENTS_H
@@ -22,12 +22,11 @@
 struct EventInfo {
   int Number;
   Level Severity;
-  std::string_view Name;    ///< A few words, as in the log.
-  std::string_view Meaning; ///< What happened, for an operator.
+  std::string_view Name;    ///< Short name, as in the log.
+  std::string_view Meaning; ///< What happened, for operators.
   std::string_view Advice;  ///< What to do; empty: nothing.
 };
 
-/// One constant an event, named in events.def.
 enum class Event : int {
 #define PERIDOTFALL_EVENT(id, number, severity, name, meaning, advice)         \
   id = (number),
@@ -37,14 +36,15 @@
 
 const std::vector<EventInfo> &allEvents();
 const EventInfo &infoOf(Event event);
-/// \param name "PF1001" or "1001". \return nothing where there is no such.
+/// \param name "PF1001" or "1001".
+/// \return the event, or nothing if there is no such number.
 std::optional<EventInfo> findEvent(std::string_view name);
 
-/// \return how often it was logged, lines below the least level included.
+/// \return how often the event was logged, including below the minimum level.
 std::uint64_t countOf(const EventInfo &event);
 
-/// Events below this level are not written.
-void setLevel(Level least);
+/// Sets the minimum level; events below it are counted but not written.
+void setLevel(Level min);
 std::optional<Level> parseLevel(std::string_view text);
 std::string_view toString(Level it);
 
@@ -57,8 +57,8 @@
   return {name, fmt::format("{}", value)};
 }
 
-/// Writes one line, whole, from any thread; never waits for a reader. Lines
-/// beyond a limit a second are counted and left out.
+/// Writes one line. Thread-safe; never blocks on the reader of standard output.
+/// Lines beyond LinesPerSecond are counted and not written.
 void log(Event event, std::initializer_list<Field> fields);
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/events_page.h
+++ b/src/telemetry/events_page.h
@@ -1,5 +1,5 @@
 /// \file
-/// The catalogue of events as a page for operators.
+/// Generates the list of events for operators.
 
 #ifndef PERIDOTFALL_TELEMETRY_EVENTS_PAGE_H
 #define PERIDOTFALL_TELEMETRY_EVENTS_PAGE_H
@@ -8,7 +8,7 @@
 
 namespace peridotfall::telemetry {
 
-/// \return docs/EVENTS.md, as it must be committed.
+/// \return the content of docs/EVENTS.md.
 std::string eventsPage();
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/line_limiter.cpp
+++ b/src/telemetry/line_limiter.cpp
@@ -6,35 +6,35 @@
 
 namespace peridotfall::telemetry {
 
-void LineLimiter::roll(TimePoint now) {
-  if (now - Second < std::chrono::seconds(1))
+void LineLimiter::rollWindow(TimePoint now) {
+  if (now - WindowStart < std::chrono::seconds(1))
     return;
-  Second = now;
+  WindowStart = now;
   for (std::size_t n = 0; n < Counts.size(); ++n) {
-    if (Counts[n].Left > 0)
-      Over.push_back({n, Counts[n].Left});
+    if (Counts[n].Suppressed > 0)
+      Pending.push_back({n, Counts[n].Suppressed});
     Counts[n] = {};
   }
 }
 
 bool LineLimiter::admit(std::size_t event, TimePoint now) {
-  roll(now);
+  rollWindow(now);
   auto &it = Counts.at(event);
   if (it.Written >= LinesPerSecond) {
-    ++it.Left;
+    ++it.Suppressed;
     return false;
   }
   ++it.Written;
   return true;
 }
 
-std::vector<LeftOut> LineLimiter::takeLeftOut(TimePoint now) {
-  roll(now);
-  return std::exchange(Over, {});
+std::vector<SuppressedLines> LineLimiter::drainSuppressed(TimePoint now) {
+  rollWindow(now);
+  return std::exchange(Pending, {});
 }
 
 bool isSampled(std::string_view request) {
-  return stableHash(std::string(request), "sample") % SampledOneIn == 0;
+  return stableHash(std::string(request), "sample") % LogSampleOneIn == 0;
 }
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/line_limiter.h
+++ b/src/telemetry/line_limiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many lines of each event may be written. Decides only.
+/// Rate limit of log lines per event, and sampling of successes.
 
 #ifndef PERIDOTFALL_TELEMETRY_LINE_LIMITER_H
 #define PERIDOTFALL_TELEMETRY_LINE_LIMITER_H
@@ -13,47 +13,48 @@
 
 namespace peridotfall::telemetry {
 
-/// Lines of one event in a second. Load: every statement of an overloaded
-/// second is refused. Harm: the log takes the processor from the statements
-/// and buries the cause. Reason: twenty lines of 250 bytes for each of a few
-/// events are under a thousandth of a VM's link, and enough to see which
-/// databases and targets are concerned.
+/// Lines of one event per second. Under overload every statement may be
+/// rejected; unlimited, the log would take processor time from the statements
+/// and hide the cause. 20 lines of 250 bytes for each of a few events use less
+/// than a thousandth of a VM's link, and still show the databases and targets
+/// affected.
 inline constexpr std::uint32_t LinesPerSecond = 20;
 
-/// One in so many successes is logged, the same ones at every daemon.
-inline constexpr std::uint64_t SampledOneIn = 64;
+/// One in this many successes is logged, the same requests at every daemon.
+inline constexpr std::uint64_t LogSampleOneIn = 64;
 
-struct LeftOut {
+/// Number of lines of one event that were not written.
+struct SuppressedLines {
   std::size_t Event = 0;
   std::uint64_t Lines = 0;
 
-  auto operator<=>(const LeftOut &) const = default;
+  auto operator<=>(const SuppressedLines &) const = default;
 };
 
-/// Not synchronised.
+/// Decides which lines may be written. Not synchronised.
 class LineLimiter {
 public:
   explicit LineLimiter(std::size_t events) : Counts(events) {}
 
-  /// \return whether a line of the event may be written; it is then counted.
+  /// \return whether a line of the event may be written, and counts it.
   bool admit(std::size_t event, TimePoint now);
-  /// \return what was left out in the seconds that are over, once.
-  std::vector<LeftOut> takeLeftOut(TimePoint now);
+  /// \return the lines suppressed in past seconds since the last call.
+  std::vector<SuppressedLines> drainSuppressed(TimePoint now);
 
 private:
   struct Count {
     std::uint32_t Written = 0;
-    std::uint64_t Left = 0;
+    std::uint64_t Suppressed = 0;
   };
-  void roll(TimePoint now);
+  void rollWindow(TimePoint now);
 
   std::vector<Count> Counts;
-  TimePoint Second{};
-  std::vector<LeftOut> Over;
+  TimePoint WindowStart{};
+  std::vector<SuppressedLines> Pending;
 };
 
-/// \return whether a calm success of the request is logged. It goes by the
-/// id alone, so that its lines can be followed over all daemons.
+/// \return whether an ordinary success of the request is logged. Depends only
+/// on the id, so that a request can be traced across all daemons.
 bool isSampled(std::string_view request);
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/log_writer.cpp
+++ b/src/telemetry/log_writer.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Longest wait at the end for a reader that has stalled.
-constexpr std::chrono::milliseconds CloseLimit{200};
+/// Maximum wait in closeLog for a stalled reader.
+constexpr std::chrono::milliseconds CloseTimeout{200};
 
 struct Writer {
   std::shared_ptr<spdlog::details::thread_pool> Pool;
@@ -23,17 +23,17 @@
 };
 
 std::mutex Lock;
-/// Never destroyed: at the process's end the writing thread may still hold it,
-/// and a sink that goes first under it is a race.
+/// Never destroyed: at exit the writing thread may still use it, and destroying
+/// the sink would race with that thread.
 Writer &Current = *new Writer; // NOLINT: see above.
 bool Closed = false;
 std::function<void(const std::string &)> Sink;
 
-Writer make() {
-  // A closed standard output must not end the process.
+Writer makeWriter() {
+  // Writing to a closed standard output must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   Writer it;
-  it.Pool = std::make_shared<spdlog::details::thread_pool>(WaitingLines, 1);
+  it.Pool = std::make_shared<spdlog::details::thread_pool>(MaxQueuedLines, 1);
   auto sink = std::make_shared<spdlog::sinks::stdout_sink_mt>();
   it.Logger = std::make_shared<spdlog::async_logger>(
       "events", std::move(sink), it.Pool,
@@ -41,7 +41,7 @@
   it.Logger->set_pattern("%v");
   it.Logger->set_level(spdlog::level::trace);
   it.Logger->flush_on(spdlog::level::trace);
-  // A line that cannot be written is lost; there is nowhere to say so.
+  // A line that cannot be written is lost; there is no other place to log it.
   it.Logger->set_error_handler([](const std::string &) {});
   return it;
 }
@@ -57,7 +57,7 @@
   if (Closed)
     return;
   if (!Current.Logger)
-    Current = make();
+    Current = makeWriter();
   Current.Logger->info(line);
 }
 
@@ -86,15 +86,15 @@
   if (!last.Pool)
     return;
   last.Logger.reset();
-  // The pool's end waits for its thread, which a stalled reader may hold.
-  std::promise<void> ended;
-  auto done = ended.get_future();
+  // The pool's destructor joins its thread, which a stalled reader may block.
+  std::promise<void> finished;
+  auto done = finished.get_future();
   std::thread([pool = std::move(last.Pool),
-               ended = std::move(ended)]() mutable {
+               finished = std::move(finished)]() mutable {
     pool.reset();
-    ended.set_value();
+    finished.set_value();
   }).detach();
-  done.wait_for(CloseLimit);
+  done.wait_for(CloseTimeout);
 }
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/log_writer.h
+++ b/src/telemetry/log_writer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Writes lines to standard output from a thread of its own, so that whoever
-/// does not read them delays no request.
+/// Writes lines to standard output from a separate thread, so that a stalled
+/// reader delays no request.
 
 #ifndef PERIDOTFALL_TELEMETRY_LOG_WRITER_H
 #define PERIDOTFALL_TELEMETRY_LOG_WRITER_H
@@ -12,22 +12,20 @@
 
 namespace peridotfall::telemetry {
 
-/// Lines that wait to be written; the oldest are dropped beyond it. Load: a
-/// reader that stalls. Reason: a second of the most that may be logged, about
-/// a quarter of a megabyte.
-inline constexpr std::size_t WaitingLines = 1'024;
+/// Queued lines; beyond this the oldest are dropped, as when the reader stalls.
+/// One second of the maximum log rate, about a quarter of a megabyte.
+inline constexpr std::size_t MaxQueuedLines = 1'024;
 
-/// Queues a line, without its end. Never waits.
+/// Queues a line, given without its newline. Never blocks.
 void writeLine(const std::string &line);
-/// Gives lines to \p sink in place of standard output; for tests. Empty: back
-/// to standard output.
+/// Redirects lines to \p sink, for tests. An empty sink restores standard
+/// output.
 void setLineSink(std::function<void(const std::string &)> sink);
-/// \return whether lines go to a sink; then none is left out.
+/// \return whether lines are redirected to a sink; then none is suppressed.
 bool hasLineSink();
-/// \return how many lines were dropped because nobody read them.
+/// \return the number of lines dropped because the queue was full.
 std::uint64_t droppedLines();
-/// Lets what waits be written, for a short time at most. Nothing is written
-/// afterwards.
+/// Writes the queued lines, with a short timeout. Later lines are discarded.
 void closeLog();
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int FirstInvariant = 9'000;
+constexpr int FirstInvariantNumber = 9'000;
 
 constexpr std::array<Outcome, OutcomeCount> Outcomes{
     Outcome::Done, Outcome::NotRun, Outcome::Unknown};
@@ -17,13 +17,13 @@
     "get", "put", "watch", "list-vms"};
 constexpr std::array<const char *, LinkCount> LinkNames{"callers", "inner"};
 
-/// From a fraction of the fastest path to the longest deadline of a caller.
+/// Seconds, from below the fastest request to the longest caller deadline.
 prometheus::Histogram::BucketBoundaries latencyBuckets() {
   return {0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1,
           0.25,   0.5,   1,      2.5,   5,    10,    60};
 }
 
-/// Around the six seconds in which a change of primary must be over.
+/// Seconds, around the 6 s within which a change of primary must be complete.
 prometheus::Histogram::BucketBoundaries gapBuckets() {
   return {0.25, 0.5, 1, 2, 3, 4, 5, 6, 8, 10, 15, 30, 60, 300};
 }
@@ -108,7 +108,8 @@
                        "Revision of the configuration in force.");
 }
 
-/// Events are counted by the log itself, so that none is left out.
+/// Adds the event counters, which the log keeps itself so that suppressed lines
+/// are counted as well.
 void addEvents(std::vector<prometheus::MetricFamily> &out) {
   prometheus::MetricFamily events;
   events.name = "peridotfall_events_total";
@@ -121,7 +122,7 @@
     prometheus::ClientMetric metric;
     metric.label = {{"event", fmt::format("PF{}", it.Number)}};
     metric.counter.value = static_cast<double>(countOf(it));
-    (it.Number >= FirstInvariant ? broken : events)
+    (it.Number >= FirstInvariantNumber ? broken : events)
         .metric.push_back(std::move(metric));
   }
   out.push_back(std::move(events));
@@ -201,7 +202,7 @@
   for (auto call : it.PlatformCalls)
     out.PlatformCalls += valueOf(call);
   for (const auto &event : allEvents())
-    if (event.Number >= FirstInvariant)
+    if (event.Number >= FirstInvariantNumber)
       out.InvariantViolations += countOf(event);
   out.Revision = static_cast<std::uint64_t>(it.Revision->Value());
   return out;
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -1,6 +1,5 @@
 /// \file
-/// Metrics of one daemon: a plain struct of handles, and the text that
-/// `GET /metrics` answers.
+/// Metrics of one daemon, and their text for `GET /metrics`.
 
 #ifndef PERIDOTFALL_TELEMETRY_METRICS_H
 #define PERIDOTFALL_TELEMETRY_METRICS_H
@@ -31,12 +30,12 @@
 using Gauge = prometheus::Gauge *;
 using Histogram = prometheus::Histogram *;
 
-/// All handles are set by makeMetrics and live as long as Registry; they may
-/// be used from any thread.
+/// Handles of all metrics. Set by makeMetrics, valid as long as Registry, and
+/// thread-safe.
 struct Metrics {
   std::unique_ptr<prometheus::Registry> Registry;
 
-  std::array<Counter, OutcomeCount> Requests{}; ///< By Outcome.
+  std::array<Counter, OutcomeCount> Requests{}; ///< Indexed by Outcome.
   Histogram RequestSeconds = nullptr;
   Gauge RequestsInFlight = nullptr;
   Histogram QueueSeconds = nullptr;
@@ -58,20 +57,20 @@
 
 Metrics makeMetrics();
 
-/// Takes the final answer to a caller.
-/// \param took since the request arrived.
-/// \param fromReplica of a read that ran: not the primary served it.
+/// Counts the final answer to a caller.
+/// \param took time since the request arrived.
+/// \param fromReplica whether a replica served the read; reads only.
 void countAnswer(Metrics &it, const StatementRequest &request,
                  const StatementAnswer &answer, Duration took,
                  bool fromReplica);
 void countBytes(Metrics &it, Link link, Direction direction, std::size_t n);
-/// \param gap how long no write was possible.
+/// \param gap time during which no write was possible.
 void countFailover(Metrics &it, Duration gap);
 
-/// Counts of events, broken invariants by number among them, are taken from
-/// the log. \return the Prometheus text format.
+/// \return all metrics in the Prometheus text format, including the log's event
+/// counts; violated invariants are counted by event number.
 std::string writeText(const Metrics &it);
-/// The same of any registry.
+/// The same for any registry.
 std::string writeText(const prometheus::Registry &registry);
 Stats readStats(const Metrics &it);
 
--- a/src/telemetry/platform_calls.cpp
+++ b/src/telemetry/platform_calls.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A missing object and another's version are answers, not failures.
+/// A missing object or a version conflict is an answer, not a failure.
 bool failed(const Error &it) {
   return it.Code == ErrorCode::Unavailable || it.Code == ErrorCode::Unknown;
 }
 
-/// Counts the call now, and its failure when it is known.
+/// Counts the call at once, and a failure when it completes.
 template <class T>
 std::function<void(Result<T>)> counted(Metrics &metrics, PlatformCall call,
                                        std::function<void(Result<T>)> done) {
--- a/src/telemetry/platform_calls.h
+++ b/src/telemetry/platform_calls.h
@@ -1,6 +1,5 @@
 /// \file
-/// Counts the calls on the platform, which is shared by everyone and paid by
-/// the call.
+/// Counts calls to the platform, which is a shared service billed per call.
 
 #ifndef PERIDOTFALL_TELEMETRY_PLATFORM_CALLS_H
 #define PERIDOTFALL_TELEMETRY_PLATFORM_CALLS_H
@@ -10,7 +9,8 @@
 
 namespace peridotfall::telemetry {
 
-/// \return the same functions, counted. \param metrics must outlive them.
+/// \return an API that counts each call and forwards it to \p api.
+/// \param metrics must outlive the returned API.
 platform::Api countCalls(platform::Api api, Metrics &metrics);
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/target_spans.h
+++ b/src/telemetry/target_spans.h
@@ -1,5 +1,5 @@
 /// \file
-/// A span for each statement sent to a target.
+/// Records a span for each statement sent to a target.
 
 #ifndef PERIDOTFALL_TELEMETRY_TARGET_SPANS_H
 #define PERIDOTFALL_TELEMETRY_TARGET_SPANS_H
@@ -9,7 +9,7 @@
 
 namespace peridotfall::telemetry {
 
-/// \return the same target, its statements traced.
+/// \return an API that forwards to \p api and traces its statements.
 target::Api traceStatements(target::Api api, std::shared_ptr<Tracer> tracer);
 
 } // namespace peridotfall::telemetry
--- a/src/telemetry/trace.cpp
+++ b/src/telemetry/trace.cpp
@@ -13,17 +13,17 @@
 
 constexpr std::size_t TraceIdBytes = 16;
 constexpr std::size_t SpanIdBytes = 8;
-/// "00-" trace id "-" span id "-" flags.
+/// Characters of "00-" trace id "-" span id "-" flags.
 constexpr std::size_t TraceparentLength = 55;
-constexpr std::size_t SpanIdAt = 36;
-constexpr std::size_t FlagsAt = 53;
+constexpr std::size_t SpanIdOffset = 36;
+constexpr std::size_t FlagsOffset = 53;
 constexpr auto TracesPath = "/v1/traces";
-/// Spans of one message to the collector, below what collectors take at once.
-constexpr std::size_t MostSent = 512;
+/// Spans per message to the collector, below the limits of collectors.
+constexpr std::size_t MaxSpansPerMessage = 512;
 
 constexpr std::array<const char *, 5> HopNames{"entry", "inner", "queue",
                                                "target", "confirmation"};
-/// Kinds of spans in OTLP.
+/// Span kinds of OTLP.
 constexpr int KindInternal = 1;
 constexpr int KindServer = 2;
 constexpr int KindClient = 3;
@@ -73,14 +73,14 @@
 } // namespace
 
 std::optional<TraceContext> parseTraceparent(const std::string &text) {
-  // A higher version may be longer; its first fields are the same.
+  // A later version may be longer, but begins with the same fields.
   if (text.size() < TraceparentLength || text[2] != '-' ||
-      text[SpanIdAt - 1] != '-' || text[FlagsAt - 1] != '-')
+      text[SpanIdOffset - 1] != '-' || text[FlagsOffset - 1] != '-')
     return std::nullopt;
   auto version = text.substr(0, 2);
   TraceContext out{text.substr(3, 2 * TraceIdBytes),
-                   text.substr(SpanIdAt, 2 * SpanIdBytes), false};
-  auto flags = text.substr(FlagsAt, 2);
+                   text.substr(SpanIdOffset, 2 * SpanIdBytes), false};
+  auto flags = text.substr(FlagsOffset, 2);
   bool wrongLength = version == "00" ? text.size() != TraceparentLength
                                      : text.size() > TraceparentLength &&
                                            text[TraceparentLength] != '-';
@@ -122,20 +122,20 @@
 
 bool Tracer::sampleNew() {
   return Channel && Options.SampleOneIn != 0 &&
-         Seen++ % Options.SampleOneIn == 0;
+         UntracedRequests++ % Options.SampleOneIn == 0;
 }
 
 Span Tracer::startSpan(Hop hop, const std::string &traceparent) {
   Span out;
   out.Kind = hop;
   out.Begun = std::chrono::system_clock::now();
-  auto before = parseTraceparent(traceparent);
-  if (before) {
-    out.Context = *before;
-    // Not ours to record: the context goes on as it came.
-    if (!before->Sampled || !Channel)
+  auto parent = parseTraceparent(traceparent);
+  if (parent) {
+    out.Context = *parent;
+    // Not recorded here; the context is forwarded unchanged.
+    if (!parent->Sampled || !Channel)
       return out;
-    out.Parent = before->SpanId;
+    out.Parent = parent->SpanId;
   } else if (hop == Hop::Entry && sampleNew()) {
     out.Context = {randomHex(TraceIdBytes), "", true};
   } else {
@@ -150,7 +150,7 @@
     return;
   auto now = std::chrono::system_clock::now();
   std::lock_guard guard(Lock);
-  if (Buffer.size() >= Options.MostBuffered)
+  if (Buffer.size() >= Options.MaxBufferedSpans)
     ++Dropped;
   else
     Buffer.push_back({std::move(span), now});
@@ -168,15 +168,15 @@
 }
 
 void Tracer::send() {
-  std::vector<Finished> spans;
+  std::vector<FinishedSpan> spans;
   {
     std::lock_guard guard(Lock);
-    // One message at a time: to a collector that is away, more would only
-    // pile up in the channel, outside of the buffer's bound.
+    // One message at a time: if the collector is unreachable, further ones
+    // would queue in the channel, where MaxBufferedSpans does not apply.
     if (Sending || Buffer.empty())
       return;
     Sending = true;
-    auto n = std::min(Buffer.size(), MostSent);
+    auto n = std::min(Buffer.size(), MaxSpansPerMessage);
     auto end = Buffer.begin() + static_cast<std::ptrdiff_t>(n);
     std::move(Buffer.begin(), end, std::back_inserter(spans));
     Buffer.erase(Buffer.begin(), end);
@@ -186,31 +186,32 @@
   request.Path = TracesPath;
   request.Fields = {{"content-type", "application/json"}};
   request.Body = encode(spans);
-  Channel->call(std::move(request), Options.SendLimit,
+  Channel->call(std::move(request), Options.SendTimeout,
                 [self = shared_from_this(),
                  n = spans.size()](const http::CallResult &it) {
-                  self->taken(n, it && it.value().Status == http::StatusOk);
+                  self->handleSendResult(n, it && it.value().Status ==
+                                                      http::StatusOk);
                 });
 }
 
-void Tracer::taken(std::size_t count, bool ok) {
-  // Spans of a failed message are not sent again: a collector that took them
-  // and lost the answer would show them twice.
+void Tracer::handleSendResult(std::size_t count, bool ok) {
+  // Spans of a failed message are not resent: if the collector received them
+  // and only the answer was lost, they would appear twice.
   (ok ? Sent : Dropped) += count;
   bool more = false;
   {
     std::lock_guard guard(Lock);
     Sending = false;
-    more = ok && Buffer.size() >= MostSent;
+    more = ok && Buffer.size() >= MaxSpansPerMessage;
   }
   if (more)
     send();
 }
 
-std::string Tracer::encode(const std::vector<Finished> &spans) const {
+std::string Tracer::encode(const std::vector<FinishedSpan> &spans) const {
   Json list = Json::array();
   for (const auto &it : spans)
-    list.push_back(toJson(it.It, it.Ended));
+    list.push_back(toJson(it.Started, it.Ended));
   Json resource = {
       {"attributes", Json::array({attribute("service.name", "peridotfalld"),
                                   attribute("host.name", Options.Vm.Value)})}};
--- a/src/telemetry/trace.h
+++ b/src/telemetry/trace.h
@@ -1,6 +1,6 @@
 /// \file
-/// Traces: a span for each hop of a request, sent to a collector as OTLP in
-/// JSON over HTTP.
+/// Tracing: one span per hop of a request, sent to a collector as OTLP/HTTP
+/// with JSON.
 
 #ifndef PERIDOTFALL_TELEMETRY_TRACE_H
 #define PERIDOTFALL_TELEMETRY_TRACE_H
@@ -23,7 +23,7 @@
 
 namespace peridotfall::telemetry {
 
-/// W3C trace context, as in the header `traceparent`.
+/// W3C trace context, as in the `traceparent` header.
 struct TraceContext {
   std::string TraceId; ///< 32 hexadecimal digits.
   std::string SpanId;  ///< 16 hexadecimal digits.
@@ -32,82 +32,82 @@
   auto operator<=>(const TraceContext &) const = default;
 };
 
-/// \return nothing where the text is malformed, or an id is all zeros.
+/// \return nothing if the text is malformed or an id is all zeros.
 std::optional<TraceContext> parseTraceparent(const std::string &text);
 std::string writeTraceparent(const TraceContext &it);
 
 enum class Hop : std::uint8_t { Entry, Inner, Queue, Target, Confirmation };
 std::string toString(Hop it);
 
-/// One hop of one request, begun and not yet finished.
+/// One hop of a request, started and not yet finished.
 struct Span {
   Hop Kind = Hop::Entry;
   TraceContext Context;
-  std::string Parent; ///< Span id; empty: the root.
+  std::string Parent; ///< Parent span id; empty: root span.
   std::chrono::system_clock::time_point Begun;
   std::vector<std::pair<std::string, std::string>> Attributes;
 
-  /// For the next hop: StatementRequest::Traceparent. Empty: not traced.
+  /// \return StatementRequest::Traceparent for the next hop; empty: not traced.
   std::string traceparent() const;
 };
 
 struct TraceOptions {
-  std::string Collector; ///< IP number and port; empty: nothing is sent.
+  std::string Collector; ///< IP address and port; empty: nothing is sent.
   VmName Vm;
-  /// Of the requests without a traceparent, one in so many is sampled; 0:
-  /// none. The caller's own decision is kept.
+  /// One in this many requests without a traceparent is sampled; 0: none. With
+  /// a traceparent, the caller's sampling decision applies.
   std::uint32_t SampleOneIn = 0;
-  /// Finished spans kept until they are sent. Load: a collector that is slow
-  /// or away while spans go on. Harm prevented: a daemon that fills its VM's
-  /// memory or waits. About 512 B a span, so 2 MB at the most.
-  std::size_t MostBuffered = 4'096;
+  /// Finished spans buffered until they are sent. Bounded so that a slow or
+  /// unreachable collector neither exhausts the VM's memory nor blocks the
+  /// daemon. About 512 B per span, at most 2 MB.
+  std::size_t MaxBufferedSpans = 4'096;
   std::chrono::milliseconds SendInterval{500};
-  std::chrono::milliseconds SendLimit{2'000};
+  std::chrono::milliseconds SendTimeout{2'000};
 };
 
-/// What became of the spans so far.
 struct TraceCounts {
-  std::uint64_t Sent = 0;    ///< Taken by the collector.
-  std::uint64_t Dropped = 0; ///< The buffer was full, or sending failed.
+  std::uint64_t Sent = 0;    ///< Spans accepted by the collector.
+  std::uint64_t Dropped = 0; ///< Buffer full or sending failed.
 
   auto operator<=>(const TraceCounts &) const = default;
 };
 
-/// From any thread. Never waits: a span that finds the buffer full is dropped
-/// and counted.
+/// Records and sends spans. Spans may be started and finished from any thread;
+/// this never blocks: if the buffer is full, the span is dropped and counted.
 class Tracer : public std::enable_shared_from_this<Tracer> {
 public:
   Tracer(asio::io_context &loop, TraceOptions options);
 
   void start();
-  /// Sends what is buffered once more, without waiting for the answer.
+  /// Sends one last message of buffered spans, without waiting for its answer.
   void stop();
 
-  /// \param traceparent of the request, or of the hop before; malformed or
-  /// empty: a new trace begins at the entry, and none anywhere else.
+  /// \param traceparent of the request or the previous hop. If it is malformed
+  /// or empty, a new trace may be sampled at Hop::Entry; other hops are not
+  /// traced.
   Span startSpan(Hop hop, const std::string &traceparent);
   void finishSpan(Span span);
   TraceCounts counts() const;
 
 private:
-  struct Finished {
-    Span It;
+  struct FinishedSpan {
+    Span Started;
     std::chrono::system_clock::time_point Ended;
   };
 
   bool sampleNew();
-  void taken(std::size_t count, bool ok);
+  void handleSendResult(std::size_t count, bool ok);
   void tick();
   void send();
-  std::string encode(const std::vector<Finished> &spans) const;
+  std::string encode(const std::vector<FinishedSpan> &spans) const;
 
   asio::steady_timer Timer;
   const TraceOptions Options;
   std::shared_ptr<http::Channel> Channel;
   mutable std::mutex Lock;
-  std::deque<Finished> Buffer;
+  std::deque<FinishedSpan> Buffer;
   bool Sending = false;
-  std::atomic<std::uint64_t> Seen{0};
+  std::atomic<std::uint64_t> UntracedRequests{0};
   std::atomic<std::uint64_t> Sent{0};
   std::atomic<std::uint64_t> Dropped{0};
 };
--- a/tests/telemetry/events_test.cpp
+++ b/tests/telemetry/events_test.cpp
@@ -8,9 +8,9 @@
 
 using namespace peridotfall::telemetry;
 
-TEST_CASE("Events: all of the list, numbers are unique and have four digits") {
+TEST_CASE("Events: all listed, numbers are unique and have four digits") {
   std::set<int> seen;
-  CHECK(allEvents().size() < 256); // As many as the log counts.
+  CHECK(allEvents().size() < 256); // MaxEvents in events.cpp.
   for (const auto &it : allEvents()) {
     CAPTURE(it.Number);
     CHECK(seen.insert(it.Number).second);
@@ -20,7 +20,7 @@
   }
 }
 
-TEST_CASE("Events: a warning or error, says what to do") {
+TEST_CASE("Events: warnings and errors, have advice") {
   for (const auto &it : allEvents()) {
     CAPTURE(it.Number);
     if (it.Severity >= Level::Warning)
@@ -28,7 +28,7 @@
   }
 }
 
-TEST_CASE("Events: the committed page, is that of the list") {
+TEST_CASE("Events: the committed page, matches the list") {
   std::ifstream in(PERIDOTFALL_SOURCE_DIR "/docs/EVENTS.md");
   std::string page((std::istreambuf_iterator<char>(in)),
                    std::istreambuf_iterator<char>());
@@ -38,7 +38,7 @@
     CHECK(page.find(fmt::format("| PF{} |", it.Number)) != std::string::npos);
 }
 
-TEST_CASE("Events: looked up by number, the event or nothing") {
+TEST_CASE("Events: lookup by number, returns the event or nothing") {
   REQUIRE(findEvent("PF1001"));
   CHECK(findEvent("PF1001")->Name == "started");
   CHECK(findEvent("1001")->Number == 1'001);
--- a/tests/telemetry/log_writer_test.cpp
+++ b/tests/telemetry/log_writer_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Standard output is a pipe that nobody reads until the test says so.
+/// Redirects standard output to a pipe that is read only by readUntil.
 struct UnreadOutput {
   int Saved = dup(STDOUT_FILENO);
   int Reader = -1;
@@ -30,7 +30,7 @@
   UnreadOutput(const UnreadOutput &) = delete;
   UnreadOutput &operator=(const UnreadOutput &) = delete;
 
-  /// Reads until a line that holds \p last has come.
+  /// Reads until \p last has been read.
   void readUntil(const std::string &last) const {
     std::string text;
     char buf[4096];
@@ -44,14 +44,14 @@
 
 } // namespace
 
-// Callers would be answered late, or not at all: whoever collects the logs has
-// stalled, the pipe is full, and the daemon goes on logging. Lines are dropped
-// and counted, the oldest first, and nothing waits.
-TEST_CASE("log that nobody reads, drops lines and keeps nobody waiting") {
+// Guards against late or missing answers to callers when the log collector
+// stalls and the pipe is full. Lines are dropped and counted, oldest first, and
+// writeLine does not block.
+TEST_CASE("log with a stalled reader, drops lines and does not block") {
   UnreadOutput output;
   auto before = droppedLines();
   const std::string filler(200, '.');
-  constexpr std::size_t Lines = 8 * WaitingLines;
+  constexpr std::size_t Lines = 8 * MaxQueuedLines;
   for (std::size_t n = 0; n < Lines; ++n)
     writeLine(filler);
   writeLine("the last line");
--- a/tests/telemetry/metrics_test.cpp
+++ b/tests/telemetry/metrics_test.cpp
@@ -50,8 +50,9 @@
   CHECK(hasLine("peridotfall_request_duration_seconds_count 5"));
 }
 
-TEST_CASE_FIXTURE(MetricsFixture,
-                  "Metrics: statements in a transaction, no share of reads") {
+TEST_CASE_FIXTURE(
+    MetricsFixture,
+    "Metrics: statements in a transaction, not counted as reads") {
   Request.Transaction = "handle";
   answer(Access::FreshRead, Outcome::Done, AnswerCode::Ok);
   CHECK(readStats(Counts).ReadsByPrimary == 0);
@@ -64,7 +65,7 @@
 }
 
 TEST_CASE_FIXTURE(MetricsFixture,
-                  "Metrics: a broken invariant, counted by its number") {
+                  "Metrics: a violated invariant, counted by its number") {
   auto before = readStats(Counts).InvariantViolations;
   log(Event::AnswerCrossed, {});
   CHECK(readStats(Counts).InvariantViolations == before + 1);
@@ -84,7 +85,7 @@
 }
 
 TEST_CASE_FIXTURE(MetricsFixture,
-                  "Metrics: calls on the platform, failures apart from "
+                  "Metrics: platform calls, failures counted apart from "
                   "answers") {
   platform::Api fake;
   auto code = ErrorCode::NotFound;
@@ -93,10 +94,10 @@
   };
   auto api = countCalls(fake, Counts);
   int answers = 0;
-  auto take = [&](const Result<platform::Object> &) { ++answers; };
-  api.Get("key", take);
+  auto onObject = [&](const Result<platform::Object> &) { ++answers; };
+  api.Get("key", onObject);
   code = ErrorCode::Unavailable;
-  api.Get("key", take);
+  api.Get("key", onObject);
   CHECK(answers == 2);
   CHECK(readStats(Counts).PlatformCalls == 2);
   CHECK(hasLine("peridotfall_platform_errors_total{call=\"get\"} 1"));
--- a/tests/telemetry/trace_test.cpp
+++ b/tests/telemetry/trace_test.cpp
@@ -20,14 +20,14 @@
 
 constexpr auto Given =
     "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
-/// Ends a test that hangs; no assertion depends on how long anything takes.
-constexpr milliseconds Patience{30'000};
+/// Ends a hanging test; no assertion depends on timing.
+constexpr milliseconds TestTimeout{30'000};
 
 std::string loopback(std::uint16_t port) {
   return "127.0.0.1:" + std::to_string(port);
 }
 
-/// A stand-in for a collector: keeps the spans it is sent.
+/// A fake collector that stores the spans it receives.
 struct Collector {
   explicit Collector(http::Loops &loops) {
     http::ServerOptions options;
@@ -35,13 +35,13 @@
     Server = std::make_shared<http::Server>(
         loops, options,
         [this](const http::Request &request, const http::Respond &respond) {
-          take(request);
+          addSpans(request);
           respond({200, {}, "{}"});
         });
     Server->start();
   }
 
-  void take(const http::Request &request) {
+  void addSpans(const http::Request &request) {
     auto body = Json::parse(request.Body);
     std::lock_guard guard(Lock);
     for (const auto &resource : body["resourceSpans"])
@@ -51,10 +51,10 @@
     Changed.notify_all();
   }
 
-  /// \return the spans, once there are as many.
+  /// \return the spans received, once there are at least \p count.
   std::vector<Json> wait(std::size_t count) {
     std::unique_lock guard(Lock);
-    Changed.wait_for(guard, Patience, [&] { return Spans.size() >= count; });
+    Changed.wait_for(guard, TestTimeout, [&] { return Spans.size() >= count; });
     return Spans;
   }
 
@@ -71,9 +71,10 @@
   auto channel = std::make_shared<http::Channel>(loops.next(), loopback(port),
                                                  http::ChannelOptions{});
   std::promise<http::Response> done;
-  channel->call(std::move(request), Patience, [&](const http::CallResult &it) {
-    done.set_value(it ? it.value() : http::Response{0, {}, ""});
-  });
+  channel->call(std::move(request), TestTimeout,
+                [&](const http::CallResult &it) {
+                  done.set_value(it ? it.value() : http::Response{0, {}, ""});
+                });
   auto out = done.get_future().get();
   channel->close();
   return out;
@@ -87,7 +88,7 @@
   return it;
 }
 
-/// Two daemons; the second owns the targets, so that the first forwards.
+/// Two daemons; the second owns the targets, so the first forwards.
 struct FleetFixture {
   http::Loops Loops{1};
   http::Loops TargetLoop{1};
@@ -183,7 +184,7 @@
     return call(Loops, Entry->callerPort(), it);
   }
 
-  /// Who owns the first target, as the entry daemon sees it.
+  /// \return the first target's owner according to the entry daemon.
   std::string ownerAtEntry() {
     http::Request it;
     it.Method = "GET";
@@ -195,10 +196,10 @@
     return json["databases"][0]["targets"][0]["owner"];
   }
 
-  /// Until orders are served and the entry daemon knows the owner; before, it
-  /// knows only itself and takes the owner's place.
+  /// Waits until orders are served and the entry daemon knows the owner; until
+  /// then it knows only itself and acts as the owner.
   void waitUntilServing() {
-    auto end = std::chrono::steady_clock::now() + Patience;
+    auto end = std::chrono::steady_clock::now() + TestTimeout;
     while (
         (order("CREATE TABLE IF NOT EXISTS orders(item)", "").Status != 200 ||
          ownerAtEntry() != "vm-owner") &&
@@ -217,7 +218,7 @@
 
 } // namespace
 
-TEST_CASE("Traceparent: well formed, read and written") {
+TEST_CASE("Traceparent: well formed, parsed and written unchanged") {
   auto it = parseTraceparent(Given);
   REQUIRE(it);
   CHECK(it->TraceId == "4bf92f3577b34da6a3ce929d0e0e4736");
@@ -226,7 +227,7 @@
   CHECK(writeTraceparent(*it) == Given);
 }
 
-TEST_CASE("Traceparent: malformed, taken for none") {
+TEST_CASE("Traceparent: malformed, ignored") {
   std::string good = Given;
   for (const auto &it :
        {std::string(), std::string("00"), good + "0", "ff" + good.substr(2),
@@ -239,7 +240,7 @@
   }
 }
 
-TEST_CASE("Tracer: not sampled by the caller, context goes on unchanged") {
+TEST_CASE("Tracer: not sampled by the caller, context forwarded unchanged") {
   http::Loops loops(1);
   TraceOptions options;
   options.Collector = "127.0.0.1:1";
@@ -251,7 +252,7 @@
   loops.stop();
 }
 
-TEST_CASE("Tracer: without a traceparent, one in so many is sampled") {
+TEST_CASE("Tracer: without a traceparent, one in SampleOneIn is sampled") {
   http::Loops loops(1);
   TraceOptions options;
   options.Collector = "127.0.0.1:1";
@@ -265,15 +266,14 @@
   loops.stop();
 }
 
-// What the caller sees: nothing; its statements go on. The collector is away
-// and spans are finished faster than they can be sent. The buffer fills up to
-// its bound and each further span is dropped and counted, as waiting or
-// growing would take the daemon down with the collector.
-TEST_CASE("Tracer: collector away, spans beyond the bound are dropped") {
+// Guards against a daemon that blocks or runs out of memory when the collector
+// is unreachable and spans finish faster than they can be sent. Spans beyond
+// the buffer's bound are dropped and counted; callers are not affected.
+TEST_CASE("Tracer: collector unreachable, spans beyond the bound dropped") {
   http::Loops loops(1);
   TraceOptions options;
   options.Collector = "127.0.0.1:1";
-  options.MostBuffered = 8;
+  options.MaxBufferedSpans = 8;
   auto tracer = std::make_shared<Tracer>(loops.at(0), options);
   for (int n = 0; n < 20; ++n)
     tracer->finishSpan(tracer->startSpan(Hop::Entry, Given));
@@ -281,9 +281,9 @@
   loops.stop();
 }
 
-// What the caller sees: its traceparent comes back with the entry's span. The
-// order goes in at one daemon, over an inner stream to the owner, and to the
-// primary; each hop's span names the one before as its parent.
+// Guards against broken parent links between hops. The order passes the entry
+// daemon, an inner stream to the owner, and the primary; each span's parent is
+// the previous hop, and the answer's traceparent has the entry's span id.
 TEST_CASE_FIXTURE(FleetFixture, "Tracer: an order, all hops in one trace") {
   waitUntilServing();
   auto answer = order("INSERT INTO orders VALUES('flyer')", Given);
@@ -307,7 +307,8 @@
   CHECK((*entry)["spanId"] == out->SpanId);
 }
 
-TEST_CASE_FIXTURE(FleetFixture, "Metrics: asked of a daemon, its own counts") {
+TEST_CASE_FIXTURE(FleetFixture,
+                  "Metrics: requested from a daemon, its own counts") {
   waitUntilServing();
   auto before = Entry->stats().Done;
   order("INSERT INTO orders VALUES('flyer')", "");
