--- a/tests/proof/callers.cpp
+++ b/tests/proof/callers.cpp
@@ -11,9 +11,9 @@
 constexpr milliseconds CallerLimit{3'000};
 constexpr milliseconds PauseBeforeRetry{200};
 constexpr milliseconds PauseAfterRefusal{5};
-constexpr int Tries = 4;
-constexpr int MostRefusals = 20;
-// Of a thousand.
+constexpr int MaxAttempts = 4;
+constexpr int MaxRefusals = 20;
+// Shares per thousand.
 constexpr unsigned Reads = 500;
 constexpr unsigned Transactions = 120;
 constexpr unsigned Keyed = 700;
@@ -30,130 +30,133 @@
 }
 
 void Callers::next(std::size_t session) {
-  auto pause = At.Sim.Rng.between(Options.ShortestPause, Options.LongestPause);
-  At.Net.timer(Node, pause, [this, session] {
+  auto pause =
+      Context.Sim.Rng.between(Options.ShortestPause, Options.LongestPause);
+  Context.Net.timer(Node, pause, [this, session] {
     if (Stopped)
       return;
-    Wish wish;
-    wish.Session = session;
-    wish.Effect = {++LastEffect};
-    wish.TriesLeft = Tries;
-    auto dice = At.Sim.Rng.below(1'000);
+    Task task;
+    task.Session = session;
+    task.Effect = {++LastEffect};
+    task.AttemptsLeft = MaxAttempts;
+    auto dice = Context.Sim.Rng.below(1'000);
     if (dice < Reads)
-      wish.Kind = RequestKind::FreshRead;
+      task.Kind = RequestKind::FreshRead;
     else if (dice < Reads + Transactions)
-      wish.Kind = RequestKind::Transaction;
-    if (wish.Kind != RequestKind::FreshRead && At.Sim.Rng.chance(Keyed))
-      wish.Key = fmt::format("key-{}", wish.Effect.Value);
-    ask(std::move(wish));
+      task.Kind = RequestKind::Transaction;
+    if (task.Kind != RequestKind::FreshRead && Context.Sim.Rng.chance(Keyed))
+      task.Key = fmt::format("key-{}", task.Effect.Value);
+    beginRequest(std::move(task));
   });
 }
 
-void Callers::ask(Wish wish) {
+void Callers::beginRequest(Task task) {
   if (Stopped)
     return;
-  --wish.TriesLeft;
-  wish.Request = At.Past.Requests.size();
-  At.Past.Requests.push_back({{++LastRequest},
-                              Sessions[wish.Session].Id,
-                              wish.Kind,
-                              wish.Effect,
-                              !wish.Key.empty(),
-                              At.Sim.now(),
-                              std::nullopt});
-  send(wish, requestFor(wish), 0);
+  --task.AttemptsLeft;
+  task.Request = Context.RunHistory.Requests.size();
+  Context.RunHistory.Requests.push_back({{++LastRequest},
+                                         Sessions[task.Session].Id,
+                                         task.Kind,
+                                         task.Effect,
+                                         !task.Key.empty(),
+                                         Context.Sim.now(),
+                                         std::nullopt});
+  send(task, requestFor(task), 0);
 }
 
-StatementRequest Callers::requestFor(const Wish &wish) const {
-  const auto &past = At.Past.Requests[wish.Request];
+StatementRequest Callers::requestFor(const Task &task) const {
+  const auto &recorded = Context.RunHistory.Requests[task.Request];
   StatementRequest it;
-  it.Id = past.Id;
+  it.Id = recorded.Id;
   it.Database = DatabaseName("orders");
   it.Mode =
-      wish.Kind == RequestKind::FreshRead ? Access::FreshRead : Access::Write;
-  Change change{wish.Effect, past.By, past.Id, "", 0};
-  if (wish.Kind == RequestKind::Transaction) {
+      task.Kind == RequestKind::FreshRead ? Access::FreshRead : Access::Write;
+  Change change{task.Effect, recorded.By, recorded.Id, "", 0};
+  if (task.Kind == RequestKind::Transaction) {
     constexpr Verb Verbs[] = {Verb::Begin, Verb::Statement, Verb::Statement,
                               Verb::Commit};
-    it.What = Verbs[wish.Part];
-    it.Transaction = wish.Transaction;
-    change.Transaction = fmt::format("t{}", wish.Effect.Value);
-    change.Part = wish.Part;
+    it.What = Verbs[task.Part];
+    it.Transaction = task.Transaction;
+    change.Transaction = fmt::format("t{}", task.Effect.Value);
+    change.Part = task.Part;
   }
-  if (wish.Kind != RequestKind::Transaction || wish.Part == LastPart)
-    it.Key = wish.Key;
+  if (task.Kind != RequestKind::Transaction || task.Part == LastPart)
+    it.Key = task.Key;
   it.Params = paramsOf(change);
   it.Budget = Deadline;
   return it;
 }
 
-void Callers::send(const Wish &wish, const StatementRequest &request,
+void Callers::send(const Task &task, const StatementRequest &request,
                    int refusals) {
   auto *daemon = Pick();
-  auto token = Sessions[wish.Session].Token;
-  At.Net.call<CallerReply>(
+  auto token = Sessions[task.Session].Token;
+  Context.Net.call<CallerReply>(
       Node, daemon->node(), CallerLimit,
       [daemon, request, token](auto reply) {
         daemon->Requests.serve(request, token, reply);
       },
-      [this, wish, request, refusals](const Result<CallerReply> &it) {
+      [this, task, request, refusals](const Result<CallerReply> &it) {
         bool refused = !it && it.error().Code == ErrorCode::Unavailable;
-        // Another daemon may have it: nothing was sent.
-        if (refused && refusals < MostRefusals) {
-          At.Net.timer(Node, PauseAfterRefusal,
-                       [this, wish, request, refusals] {
-                         send(wish, request, refusals + 1);
-                       });
+        // Nothing was sent, so the request may go to another daemon.
+        if (refused && refusals < MaxRefusals) {
+          Context.Net.timer(Node, PauseAfterRefusal,
+                            [this, task, request, refusals] {
+                              send(task, request, refusals + 1);
+                            });
           return;
         }
-        replied(wish, it);
+        replied(task, it);
       });
 }
 
-void Callers::record(const Wish &wish, const CallerReply &reply) {
+void Callers::record(const Task &task, const CallerReply &reply) {
   const auto &it = reply.Answer;
-  At.Past.Requests[wish.Request].Answer = CallerAnswer{
-      At.Sim.now(), it.Id, it.Effect, it.Code, it.At, echoOf(it), seenIn(it)};
+  Context.RunHistory.Requests[task.Request].Answer =
+      CallerAnswer{Context.Sim.now(), it.Id,     it.Effect, it.Code, it.At,
+                   echoOf(it),        seenIn(it)};
 }
 
-void Callers::replied(Wish wish, const Result<CallerReply> &reply) {
+void Callers::replied(Task task, const Result<CallerReply> &reply) {
   if (reply)
-    Sessions[wish.Session].Token = reply.value().Token;
-  if (wish.Kind == RequestKind::Transaction && inTransaction(wish, reply))
+    Sessions[task.Session].Token = reply.value().Token;
+  if (task.Kind == RequestKind::Transaction && inTransaction(task, reply))
     return;
   if (reply)
-    record(wish, reply.value());
-  after(wish, static_cast<bool>(reply),
+    record(task, reply.value());
+  after(task, static_cast<bool>(reply),
         reply ? reply.value().Answer.Effect : Outcome::Unknown);
 }
 
-/// Goes one step on. \return false once the answer to the commit is there.
-bool Callers::inTransaction(Wish wish, const Result<CallerReply> &reply) {
-  if (wish.Part == LastPart)
+/// Sends the next step. \return false if the reply is the commit's.
+bool Callers::inTransaction(Task task, const Result<CallerReply> &reply) {
+  if (task.Part == LastPart)
     return false;
   if (!reply || reply.value().Answer.Effect != Outcome::Done) {
-    // Given up before the commit; the owner drops what was open.
-    next(wish.Session);
+    // Abandoned before the commit; the owner drops the open transaction.
+    next(task.Session);
     return true;
   }
-  if (wish.Part == 0)
-    wish.Transaction = reply.value().Answer.Transaction;
-  ++wish.Part;
-  send(wish, requestFor(wish), 0);
+  if (task.Part == 0)
+    task.Transaction = reply.value().Answer.Transaction;
+  ++task.Part;
+  send(task, requestFor(task), 0);
   return true;
 }
 
-/// A caller trusts "not run", whatever its request; after an unknown outcome
-/// it asks again only under a key.
-void Callers::after(Wish wish, bool known, Outcome outcome) {
-  bool again = wish.Kind == RequestKind::Write && wish.TriesLeft > 0 &&
+/// A caller retries any write that was "not run"; after an unknown outcome it
+/// retries only with a key.
+void Callers::after(Task task, bool known, Outcome outcome) {
+  bool again = task.Kind == RequestKind::Write && task.AttemptsLeft > 0 &&
                ((known && outcome == Outcome::NotRun) ||
-                (outcome == Outcome::Unknown && !wish.Key.empty()));
+                (outcome == Outcome::Unknown && !task.Key.empty()));
   if (!again) {
-    next(wish.Session);
+    next(task.Session);
     return;
   }
-  At.Net.timer(Node, PauseBeforeRetry, [this, wish] { ask(wish); });
+  Context.Net.timer(Node, PauseBeforeRetry,
+                    [this, task] { beginRequest(task); });
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/callers.h
+++ b/tests/proof/callers.h
@@ -1,6 +1,6 @@
 /// \file
-/// Callers: sessions that roam between daemons, order, pay and read, and ask
-/// again as a fair caller does.
+/// Callers: sessions that use any daemon, write and read, and retry only where
+/// the outcome or an idempotency key makes it safe.
 
 #ifndef PERIDOTFALL_PROOF_CALLERS_H
 #define PERIDOTFALL_PROOF_CALLERS_H
@@ -24,10 +24,10 @@
 
 class Callers {
 public:
-  /// \param pick the balancer: a daemon for the next request.
-  Callers(Setting setting, NodeId node, CallerOptions options,
+  /// \param pick load balancer: returns the daemon for the next request.
+  Callers(RunContext context, NodeId node, CallerOptions options,
           std::function<Daemon *()> pick)
-      : At(setting), Node(node), Options(options), Pick(std::move(pick)) {}
+      : Context(context), Node(node), Options(options), Pick(std::move(pick)) {}
 
   void start();
   void stop() { Stopped = true; }
@@ -37,28 +37,28 @@
     SessionId Id;
     std::string Token;
   };
-  /// One thing a caller wants done, over all its requests for it.
-  struct Wish {
+  /// One read, write or transaction of a caller, with all its retries.
+  struct Task {
     std::size_t Session = 0;
     RequestKind Kind = RequestKind::Write;
     EffectId Effect;
     std::string Key;
-    int TriesLeft = 0;
-    std::size_t Request = 0; ///< Place in the history.
-    int Part = 0;            ///< Of a transaction: steps that are done.
+    int AttemptsLeft = 0;
+    std::size_t Request = 0; ///< Index in the history.
+    int Part = 0;            ///< Of a transaction: number of steps done.
     std::string Transaction;
   };
 
   void next(std::size_t session);
-  void ask(Wish wish);
-  void send(const Wish &wish, const StatementRequest &request, int refusals);
-  StatementRequest requestFor(const Wish &wish) const;
-  void replied(Wish wish, const Result<CallerReply> &reply);
-  void record(const Wish &wish, const CallerReply &reply);
-  bool inTransaction(Wish wish, const Result<CallerReply> &reply);
-  void after(Wish wish, bool known, Outcome outcome);
+  void beginRequest(Task task);
+  void send(const Task &task, const StatementRequest &request, int refusals);
+  StatementRequest requestFor(const Task &task) const;
+  void replied(Task task, const Result<CallerReply> &reply);
+  void record(const Task &task, const CallerReply &reply);
+  bool inTransaction(Task task, const Result<CallerReply> &reply);
+  void after(Task task, bool known, Outcome outcome);
 
-  Setting At;
+  RunContext Context;
   NodeId Node;
   CallerOptions Options;
   std::function<Daemon *()> Pick;
--- a/tests/proof/coordinator.cpp
+++ b/tests/proof/coordinator.cpp
@@ -20,7 +20,7 @@
   std::optional<failover::VersionedObject> Object;
 };
 
-/// \return the step's end, where its answer may have been lost.
+/// \return the answer; the outcome is unknown if it may have been lost.
 StepAnswer answerOf(const Result<StepAnswer> &it) {
   return it ? it.value() : StepAnswer{StepOutcome::Unknown, {}};
 }
@@ -28,7 +28,7 @@
 } // namespace
 
 FakeTarget *Coordinator::find(const TargetName &name) const {
-  for (auto *it : Out.Targets)
+  for (auto *it : Deps.Targets)
     if (it->name() == name)
       return it;
   return nullptr;
@@ -41,15 +41,15 @@
     Group.reset();
     return;
   }
-  auto now = At.Sim.now();
+  auto now = Context.Sim.now();
   if (!Group)
-    Group =
-        failover::makeGroup(Database, Vm, owned, {}, At.Sim.Rng.next(), now);
+    Group = failover::makeGroup(Database, Vm, owned, {}, Context.Sim.Rng.next(),
+                                now);
   else
     failover::setTargets(*Group, owned, now);
   perform(failover::onTick(*Group, now));
   if (Group && !Group->Primary.empty())
-    Out.OnView({Group->InTerm, Group->Primary, leaving()});
+    Deps.OnView({Group->InTerm, Group->Primary, leaving()});
 }
 
 std::set<TargetName> Coordinator::leaving() const {
@@ -67,28 +67,28 @@
 
 void Coordinator::perform(const failover::Probe &it) {
   auto *target = find(it.Target);
-  At.Net.call<TargetReport>(
+  Context.Net.call<TargetReport>(
       Self, target->node(), ProbeLimit,
       [target](auto reply) { reply(target->report()); },
       [this, name = it.Target](const Result<TargetReport> &report) {
         if (!Group)
           return;
-        auto now = At.Sim.now();
+        auto now = Context.Sim.now();
         perform(report ? failover::onStatus(*Group, name, report.value(), now)
                        : failover::onUnreachable(*Group, name, now));
       });
 }
 
 void Coordinator::perform(const failover::AskPeer &it) {
-  auto *peer = Out.Peer(it.Vm);
+  auto *peer = Deps.Peer(it.Vm);
   if (!peer)
     return;
-  At.Net.call<std::optional<PeerAnswer>>(
+  Context.Net.call<std::optional<PeerAnswer>>(
       Self, peer->node(), ProbeLimit,
       [peer, version = it.Version](auto reply) {
         std::optional<PeerAnswer> answer;
         if (peer->Group)
-          answer = {failover::sightsOf(*peer->Group, peer->At.Sim.now()),
+          answer = {failover::sightsOf(*peer->Group, peer->Context.Sim.now()),
                     failover::newerObject(*peer->Group, version)};
         reply(answer);
       },
@@ -97,14 +97,14 @@
           return;
         auto [seen, object] = *answer.value();
         if (object)
-          perform(failover::onPeerObject(*Group, *object, At.Sim.now()));
-        perform(failover::onPeerView(*Group, vm, seen, At.Sim.now()));
+          perform(failover::onPeerObject(*Group, *object, Context.Sim.now()));
+        perform(failover::onPeerView(*Group, vm, seen, Context.Sim.now()));
       });
 }
 
 void Coordinator::perform(const failover::Fence &it) {
   auto *target = find(it.Target);
-  At.Net.call<StepAnswer>(
+  Context.Net.call<StepAnswer>(
       Self, target->node(), StepLimit,
       [target, it](auto reply) { reply(target->fence(it.InTerm)); },
       [this, it](const Result<StepAnswer> &answer) {
@@ -114,38 +114,38 @@
           fenced(it.InTerm);
         perform(failover::onFenced(*Group, it.Target, it.InTerm,
                                    answerOf(answer).Outcome,
-                                   answerOf(answer).Report, At.Sim.now()));
+                                   answerOf(answer).Report, Context.Sim.now()));
       });
 }
 
 void Coordinator::fenced(Term term) {
-  if (term != CountedTerm)
-    FencedInTerm = 0;
-  CountedTerm = term;
-  ++FencedInTerm;
-  if (FencedInTerm == 1)
-    At.Reached.pass(Step::OneFenced);
-  if (FencedInTerm == 2)
-    At.Reached.pass(Step::MajorityFenced);
+  if (term != FencedTerm)
+    FencedCount = 0;
+  FencedTerm = term;
+  ++FencedCount;
+  if (FencedCount == 1)
+    Context.Hooks.reached(Step::OneFenced);
+  if (FencedCount == 2)
+    Context.Hooks.reached(Step::MajorityFenced);
 }
 
 void Coordinator::perform(const failover::Promote &it) {
   auto *target = find(it.Target);
-  At.Net.call<StepAnswer>(
+  Context.Net.call<StepAnswer>(
       Self, target->node(), StepLimit,
       [target, it](auto reply) { reply(target->promote(it.InTerm)); },
       [this, it](const Result<StepAnswer> &answer) {
         if (Group)
-          perform(failover::onPromoted(*Group, it.Target, it.InTerm,
-                                       answerOf(answer).Outcome,
-                                       answerOf(answer).Report, At.Sim.now()));
+          perform(failover::onPromoted(
+              *Group, it.Target, it.InTerm, answerOf(answer).Outcome,
+              answerOf(answer).Report, Context.Sim.now()));
       });
 }
 
 void Coordinator::perform(const failover::Follow &it) {
   auto *target = find(it.Target);
   auto *primary = find(it.Primary);
-  At.Net.call<StepAnswer>(
+  Context.Net.call<StepAnswer>(
       Self, target->node(), StepLimit,
       [target, primary, it](auto reply) {
         reply(target->follow(it.InTerm, primary));
@@ -153,15 +153,15 @@
       [this, it](const Result<StepAnswer> &answer) {
         if (Group && answerOf(answer).Outcome == StepOutcome::Done)
           perform(failover::onStatus(*Group, it.Target, answerOf(answer).Report,
-                                     At.Sim.now()));
+                                     Context.Sim.now()));
       });
 }
 
 void Coordinator::perform(const failover::GetObject &) {
-  Out.Platform->get(Self, GroupKey, [this](const Result<StoredObject> &it) {
+  Deps.Platform->get(Self, GroupKey, [this](const Result<StoredObject> &it) {
     if (!Group)
       return;
-    auto now = At.Sim.now();
+    auto now = Context.Sim.now();
     if (!it) {
       perform(failover::onObjectUnavailable(*Group, now));
       return;
@@ -174,33 +174,33 @@
 }
 
 void Coordinator::perform(const failover::PutObject &it) {
-  Out.Platform->put(Self, GroupKey, it.Expected,
-                    failover::writeGroupObject(it.Value),
-                    [this, it](const Result<StoredObject> &answer) {
-                      if (!Group)
-                        return;
-                      auto outcome = StepOutcome::Unknown;
-                      if (answer)
-                        outcome = StepOutcome::Done;
-                      else if (answer.error().Code == ErrorCode::Conflict)
-                        outcome = StepOutcome::Refused;
-                      if (answer && it.Value.InTerm > 1)
-                        At.Reached.pass(Step::Published);
-                      perform(failover::onPutDone(*Group, it.Value.Id, outcome,
-                                                  At.Sim.now()));
-                    });
+  Deps.Platform->put(Self, GroupKey, it.Expected,
+                     failover::writeGroupObject(it.Value),
+                     [this, it](const Result<StoredObject> &answer) {
+                       if (!Group)
+                         return;
+                       auto outcome = StepOutcome::Unknown;
+                       if (answer)
+                         outcome = StepOutcome::Done;
+                       else if (answer.error().Code == ErrorCode::Conflict)
+                         outcome = StepOutcome::Refused;
+                       if (answer && it.Value.InTerm > 1)
+                         Context.Hooks.reached(Step::Published);
+                       perform(failover::onPutDone(*Group, it.Value.Id, outcome,
+                                                   Context.Sim.now()));
+                     });
 }
 
 void Coordinator::perform(const failover::HoldWrites &it) {
-  Out.HoldWrites(it.Until);
+  Deps.HoldWrites(it.Until);
 }
 
 void Coordinator::perform(const failover::PrimaryChanged &it) {
-  Out.OnView({it.InTerm, it.Primary, leaving()});
+  Deps.OnView({it.InTerm, it.Primary, leaving()});
 }
 
 void Coordinator::perform(const failover::CampaignBegun &) {
-  At.Reached.pass(Step::Nominated);
+  Context.Hooks.reached(Step::Nominated);
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/coordinator.h
+++ b/tests/proof/coordinator.h
@@ -1,6 +1,6 @@
 /// \file
-/// Drives the failover state machine of include/peridotfall/failover.h with
-/// the fakes: performs its actions and reports what came of them.
+/// Drives the failover state machine of include/peridotfall/failover.h with the
+/// fakes: performs its actions and reports their results.
 
 #ifndef PERIDOTFALL_PROOF_COORDINATOR_H
 #define PERIDOTFALL_PROOF_COORDINATOR_H
@@ -16,7 +16,7 @@
 
 namespace peridotfall::proof {
 
-/// Who leads, as one daemon believes.
+/// The group's primary and leaving targets, as one daemon sees them.
 struct GroupView {
   Term InTerm = 0;
   TargetName Primary;
@@ -27,20 +27,22 @@
 
 class Coordinator {
 public:
-  struct Links {
+  struct Dependencies {
     std::vector<FakeTarget *> Targets;
     FakePlatform *Platform = nullptr;
-    /// \return node and coordinator of a daemon; null: unknown.
+    /// \return a daemon's coordinator; null: unknown.
     std::function<Coordinator *(const VmName &)> Peer;
     std::function<void(const GroupView &)> OnView;
     std::function<void(TimePoint)> HoldWrites;
   };
 
-  Coordinator(Setting setting, NodeId self, VmName vm, Links links)
-      : At(setting), Self(self), Vm(std::move(vm)), Out(std::move(links)) {}
+  Coordinator(RunContext context, NodeId self, VmName vm,
+              Dependencies dependencies)
+      : Context(context), Self(self), Vm(std::move(vm)),
+        Deps(std::move(dependencies)) {}
 
-  /// \param owned all targets with their owners, as this daemon sees it. It
-  /// takes part while it owns one.
+  /// \param owned all targets with their owners, as this daemon sees them. It
+  /// takes part in failover while it owns one.
   void tick(const std::vector<failover::OwnedTarget> &owned);
   void reset() { Group.reset(); }
   NodeId node() const { return Self; }
@@ -67,13 +69,13 @@
   void fenced(Term term);
   std::set<TargetName> leaving() const;
 
-  Setting At;
+  RunContext Context;
   NodeId Self;
   VmName Vm;
-  Links Out;
+  Dependencies Deps;
   std::optional<failover::GroupState> Group;
-  Term CountedTerm = 0; ///< Of the fences counted.
-  int FencedInTerm = 0;
+  Term FencedTerm = 0; ///< The term of FencedCount.
+  int FencedCount = 0;
 };
 
 } // namespace peridotfall::proof
--- a/tests/proof/daemon.cpp
+++ b/tests/proof/daemon.cpp
@@ -7,15 +7,16 @@
 namespace {
 
 constexpr milliseconds TickInterval{25};
-/// Until every other daemon has learnt that this one leaves.
+/// Time for every other daemon to learn that this one leaves.
 constexpr milliseconds DrainNotice{1'500};
 constexpr milliseconds DrainLimit{10'000};
 constexpr milliseconds DrainPoll{20};
 
-Coordinator::Links linksOf(const Daemon::Surroundings &around, Peers &known,
-                           Owner &owner) {
-  return {around.Targets, around.Platform,
-          [find = around.Find](const VmName &vm) -> Coordinator * {
+Coordinator::Dependencies
+coordinatorDependencies(const Daemon::Dependencies &dependencies, Peers &known,
+                        Owner &owner) {
+  return {dependencies.Targets, dependencies.Platform,
+          [find = dependencies.Find](const VmName &vm) -> Coordinator * {
             auto *it = find(vm);
             return it ? &it->Failover : nullptr;
           },
@@ -25,59 +26,62 @@
 
 } // namespace
 
-Daemon::Daemon(Setting setting, NodeId node, Member member, Surroundings around)
-    : Requests(
-          setting, node, member, around.Places, Known,
-          [find = around.Find](const VmName &vm) -> std::optional<OwnerLink> {
-            auto *it = find(vm);
-            if (!it)
-              return std::nullopt;
-            return OwnerLink{it->node(), &it->Targets};
-          }),
-      Targets(setting, node, around.Targets, around.Connections),
-      Known(setting, node, member, *around.Platform),
-      Failover(setting, node, member.Vm, linksOf(around, Known, Targets)),
-      At(setting), Node(node), It(std::move(member)),
-      Around(std::move(around)) {}
+Daemon::Daemon(RunContext context, NodeId node, Member member,
+               Dependencies dependencies)
+    : Requests(context, node, member, dependencies.Localities, KnownPeers,
+               [find = dependencies.Find](
+                   const VmName &vm) -> std::optional<OwnerLink> {
+                 auto *it = find(vm);
+                 if (!it)
+                   return std::nullopt;
+                 return OwnerLink{it->node(), &it->TargetOwner};
+               }),
+      TargetOwner(context, node, dependencies.Targets,
+                  dependencies.Connections),
+      KnownPeers(context, node, member, *dependencies.Platform),
+      Failover(context, node, member.Vm,
+               coordinatorDependencies(dependencies, KnownPeers, TargetOwner)),
+      Context(context), Node(node), OwnMember(std::move(member)),
+      Deps(std::move(dependencies)) {}
 
 void Daemon::start() {
   ++Incarnation;
   IsDraining = false;
-  At.Net.start(Node);
+  Context.Net.start(Node);
   Requests.reset();
-  Targets.reset();
+  TargetOwner.reset();
   Failover.reset();
-  Known.start(Around.Others(It.Vm), Incarnation);
+  KnownPeers.start(Deps.Others(OwnMember.Vm), Incarnation);
   tick();
 }
 
 void Daemon::tick() {
   Failover.tick(Requests.owned());
-  Known.setObserves(Failover.observes());
-  At.Net.timer(Node, TickInterval, [this] { tick(); });
+  KnownPeers.setObserves(Failover.observes());
+  Context.Net.timer(Node, TickInterval, [this] { tick(); });
 }
 
 void Daemon::drain() {
   IsDraining = true;
   Requests.drain();
-  Known.setLeaving();
-  At.Reached.pass(Step::Draining);
-  if (!At.Guards.DrainWaits) {
-    endWhenIdle(At.Sim.now());
+  KnownPeers.setLeaving();
+  Context.Hooks.reached(Step::Draining);
+  if (!Context.Guards.DrainWaits) {
+    endWhenIdle(Context.Sim.now());
     return;
   }
-  At.Net.timer(Node, DrainNotice,
-               [this] { endWhenIdle(At.Sim.now() + DrainLimit); });
+  Context.Net.timer(Node, DrainNotice,
+                    [this] { endWhenIdle(Context.Sim.now() + DrainLimit); });
 }
 
 void Daemon::endWhenIdle(TimePoint limit) {
-  auto n = Requests.inFlight() + Targets.inFlight();
-  if (n > 0 && At.Sim.now() < limit) {
-    At.Net.timer(Node, DrainPoll, [this, limit] { endWhenIdle(limit); });
+  auto n = Requests.inFlight() + TargetOwner.inFlight();
+  if (n > 0 && Context.Sim.now() < limit) {
+    Context.Net.timer(Node, DrainPoll, [this, limit] { endWhenIdle(limit); });
     return;
   }
-  At.Past.CutByShutdown += n;
-  At.Net.kill(Node);
+  Context.RunHistory.CutByShutdown += n;
+  Context.Net.kill(Node);
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/daemon.h
+++ b/tests/proof/daemon.h
@@ -13,39 +13,41 @@
 
 class Daemon {
 public:
-  struct Surroundings {
+  struct Dependencies {
     std::vector<FakeTarget *> Targets;
-    std::vector<TargetPlace> Places;
+    std::vector<TargetLocality> Localities;
     FakePlatform *Platform = nullptr;
     unsigned Connections = 0; ///< To one target.
     std::function<Daemon *(const VmName &)> Find;
     std::function<std::vector<Peers::Peer>(const VmName &)> Others;
   };
 
-  Daemon(Setting setting, NodeId node, Member member, Surroundings around);
+  Daemon(RunContext context, NodeId node, Member member,
+         Dependencies dependencies);
 
-  /// A new process: nothing is kept of an earlier one.
+  /// Starts a new process, without any state of an earlier one.
   void start();
-  /// Ends in order: no new requests, then an end once none is under way.
+  /// Shuts down gracefully: refuses new requests, then ends when none is in
+  /// flight.
   void drain();
   NodeId node() const { return Node; }
-  const Member &member() const { return It; }
+  const Member &member() const { return OwnMember; }
   std::uint64_t incarnation() const { return Incarnation; }
   bool draining() const { return IsDraining; }
 
   Entry Requests;
-  Owner Targets;
-  Peers Known;
+  Owner TargetOwner;
+  Peers KnownPeers;
   Coordinator Failover;
 
 private:
   void tick();
   void endWhenIdle(TimePoint limit);
 
-  Setting At;
+  RunContext Context;
   NodeId Node;
-  Member It;
-  Surroundings Around;
+  Member OwnMember;
+  Dependencies Deps;
   std::uint64_t Incarnation = 0;
   bool IsDraining = false;
 };
--- a/tests/proof/entry.cpp
+++ b/tests/proof/entry.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr milliseconds RetryPause{25};
-/// Kept back of the budget, so that the owner's answer is in time here.
+/// Subtracted from the budget, so that the owner's answer arrives in time.
 constexpr milliseconds HopTime{20};
 constexpr unsigned IdBits = 40;
 
@@ -28,7 +28,7 @@
   }
 }
 
-/// The VM that holds a transaction is the one that opened it.
+/// The handle names the VM that opened the transaction: only that VM has it.
 std::string joinHandle(const VmName &vm, const std::string &handle) {
   return vm.Value + "/" + handle;
 }
@@ -53,7 +53,7 @@
 std::vector<Member> Entry::ranked(const TargetName &target) const {
   for (const auto &it : Targets)
     if (it.Name == target)
-      return rankOwners(Known.live(), it.Name, it.Domain, it.Region);
+      return rankOwners(KnownPeers.live(), it.Name, it.Domain, it.Region);
   return {};
 }
 
@@ -73,7 +73,7 @@
     return;
   }
   auto op = std::make_shared<Operation>();
-  op->Deadline = At.Sim.now() + request.Budget;
+  op->Deadline = Context.Sim.now() + request.Budget;
   if (!token.empty())
     op->Session = verifyToken(token, tokenKeys()).value();
   op->Request = std::move(request);
@@ -86,33 +86,33 @@
   if (op.Request.Mode == Access::Write || op.PrimaryNext)
     return true;
   auto it = op.Session.Databases.find(op.Request.Database);
-  return At.Guards.PrimaryOnly && it != op.Session.Databases.end() &&
+  return Context.Guards.PrimaryOnly && it != op.Session.Databases.end() &&
          it->second.primaryOnly();
 }
 
 TargetName Entry::chooseTarget(const Operation &op, bool primary) {
-  const auto &view = Known.view();
+  const auto &view = KnownPeers.view();
   auto n = static_cast<std::size_t>(op.Attempts) % Targets.size();
   if (primary)
     return view.Primary.empty() ? Targets[n].Name : view.Primary;
   std::vector<TargetName> replicas;
   for (const auto &it : Targets)
-    if (it.Name != view.Primary &&
-        (!At.Guards.LeavingTargetAvoided || view.Leaving.count(it.Name) == 0))
+    if (it.Name != view.Primary && (!Context.Guards.LeavingTargetAvoided ||
+                                    view.Leaving.count(it.Name) == 0))
       replicas.push_back(it.Name);
   if (replicas.empty())
     return view.Primary;
-  return replicas[At.Sim.Rng.below(replicas.size())];
+  return replicas[Context.Sim.Rng.below(replicas.size())];
 }
 
 void Entry::attempt(const OperationPtr &op) {
   auto request = op->Request;
-  // Parts the ids of all daemons and incarnations from each other.
+  // Makes ids unique across daemons and their incarnations.
   request.Id = {(std::uint64_t{Self.Index} + 1) << IdBits |
-                (At.Sim.now().time_since_epoch().count() & 0xffff) << 24 |
+                (Context.Sim.now().time_since_epoch().count() & 0xffff) << 24 |
                 (++LastId & 0xffffff)};
-  op->SentView = Known.view();
-  request.Budget = op->Deadline - At.Sim.now() - HopTime;
+  op->SentView = KnownPeers.view();
+  request.Budget = op->Deadline - Context.Sim.now() - HopTime;
   ++op->Attempts;
   if (!request.Transaction.empty()) {
     auto [vm, handle] = splitHandle(request.Transaction);
@@ -123,7 +123,7 @@
   bool primary = toPrimary(*op);
   request.Target = chooseTarget(*op, primary);
   if (primary)
-    request.InTerm = Known.view().InTerm;
+    request.InTerm = KnownPeers.view().InTerm;
   if (request.Mode == Access::FreshRead)
     request.NotBefore = op->Session.Databases[request.Database].Seen;
   auto owners = ranked(request.Target);
@@ -131,10 +131,11 @@
     answered(op, request, notRun(request, AnswerCode::Unavailable, "no owner"));
     return;
   }
-  // A failed owner is passed over, until the membership knows of it. One that
-  // holds writes back for a hand-over is not: another owner would send them
-  // past it.
-  auto failed = static_cast<std::size_t>(op->Attempts - op->Held - 1) / 2;
+  // Tries the next owner after a failure, until the membership is updated.
+  // Refusals of an owner that holds writes back for a handover don't count:
+  // another owner would send the writes in spite of it.
+  auto failed =
+      static_cast<std::size_t>(op->Attempts - op->HandoverRefusals - 1) / 2;
   auto rank = failed % owners.size();
   sendTo(op, owners[rank].Vm, request);
 }
@@ -147,12 +148,14 @@
              notRun(request, AnswerCode::TransactionGone, "no such daemon"));
     return;
   }
-  At.Net.call<StatementAnswer>(
+  Context.Net.call<StatementAnswer>(
       Self, link->Node, request.Budget + HopTime,
-      [it = link->It, request](auto reply) { it->execute(request, reply); },
+      [it = link->Instance, request](auto reply) {
+        it->execute(request, reply);
+      },
       [this, op, owner, request](const Result<StatementAnswer> &result) {
-        if (result &&
-            (result.value().Id == request.Id || !At.Guards.AnswerIdChecked)) {
+        if (result && (result.value().Id == request.Id ||
+                       !Context.Guards.AnswerIdChecked)) {
           auto answer = result.value();
           if (!answer.Transaction.empty())
             answer.Transaction = joinHandle(owner, answer.Transaction);
@@ -162,19 +165,19 @@
         bool sent = result || result.error().Code == ErrorCode::Unknown;
         answered(
             op, request,
-            sent && At.Guards.TruthfulNotRun
+            sent && Context.Guards.TruthfulNotRun
                 ? unknownOutcome(request, AnswerCode::ConnectionLost, "owner")
                 : notRun(request, AnswerCode::Unavailable, "owner"));
       });
 }
 
-/// Failure: an old primary is back, or cut off, with a tail that no other
-/// target has, and is read as a replica. Symptom: a session sees its write,
-/// which then is gone. What a replica holds of the term in which another
-/// target leads came from that one, so two targets have it: it is kept.
+/// A former primary that is back, or is cut off, may have records at its end
+/// that no other target has. Read as a replica, it would show a session a write
+/// that is later lost. A replica's records of the current term came from the
+/// primary, so two targets have them and they are kept.
 bool Entry::isFromOldTerm(const Operation &op, const StatementRequest &sent,
                           const StatementAnswer &answer) const {
-  return At.Guards.ReplicaTerm && sent.Mode == Access::FreshRead &&
+  return Context.Guards.ReplicaTerm && sent.Mode == Access::FreshRead &&
          sent.InTerm == 0 && answer.Effect == Outcome::Done &&
          (answer.At.InTerm != op.SentView.InTerm ||
           sent.Target == op.SentView.Primary);
@@ -189,21 +192,21 @@
   if (answer.Code == AnswerCode::Behind)
     op->PrimaryNext = true;
   if (answer.Detail == HandoverDetail)
-    ++op->Held;
-  // Sent again only where it cannot run twice by that.
+    ++op->HandoverRefusals;
+  // Retried only if it cannot run twice.
   bool mayRepeat = op->Request.Mode != Access::Write ||
-                   !op->Request.Key.empty() || !At.Guards.NoBlindRepeat;
+                   !op->Request.Key.empty() || !Context.Guards.NoBlindRepeat;
   bool safe = answer.Effect == Outcome::NotRun ||
               (answer.Effect == Outcome::Unknown && mayRepeat);
-  bool inTime = op->Deadline - At.Sim.now() > RetryPause + 2 * HopTime;
+  bool inTime = op->Deadline - Context.Sim.now() > RetryPause + 2 * HopTime;
   if (safe && inTime && sent.Transaction.empty() &&
       worthRetrying(answer.Code)) {
-    At.Net.timer(Self, RetryPause, [this, op] { attempt(op); });
+    Context.Net.timer(Self, RetryPause, [this, op] { attempt(op); });
     return;
   }
-  // "Not run" of the last attempt says nothing of an earlier one in doubt.
+  // "Not run" from the last attempt doesn't settle an earlier unknown outcome.
   if (op->OutcomeInDoubt && answer.Effect == Outcome::NotRun &&
-      op->Request.Mode == Access::Write && At.Guards.TruthfulNotRun)
+      op->Request.Mode == Access::Write && Context.Guards.TruthfulNotRun)
     answer.Effect = Outcome::Unknown;
   finish(op, std::move(answer));
 }
@@ -218,7 +221,7 @@
     session = withUnknown(std::move(session), request.Database, request.Key);
   answer.Id = request.Id;
   --Running;
-  At.Reached.pass(Step::Answered);
+  Context.Hooks.reached(Step::Answered);
   op->Done({std::move(answer), signToken(session, tokenKeys())});
 }
 
--- a/tests/proof/entry.h
+++ b/tests/proof/entry.h
@@ -1,6 +1,6 @@
 /// \file
-/// The driver of an entry daemon: session token, choice of target and owner,
-/// and repeats, by the rules of src/daemon/router.cpp, on the fakes.
+/// The entry side of a daemon on the fakes: session tokens, choice of target
+/// and owner, and retries, by the rules of src/daemon/router.cpp.
 
 #ifndef PERIDOTFALL_PROOF_ENTRY_H
 #define PERIDOTFALL_PROOF_ENTRY_H
@@ -25,35 +25,35 @@
 };
 using OnReply = std::function<void(CallerReply)>;
 
-struct TargetPlace {
+struct TargetLocality {
   TargetName Name;
   DomainName Domain;
   RegionName Region;
 
-  auto operator<=>(const TargetPlace &) const = default;
+  auto operator<=>(const TargetLocality &) const = default;
 };
 
-/// An owner daemon, as others reach it.
+/// An owner daemon and the node it runs on.
 struct OwnerLink {
   NodeId Node;
-  Owner *It = nullptr;
+  Owner *Instance = nullptr;
 };
 
 class Entry {
 public:
-  Entry(Setting setting, NodeId self, Member member,
-        std::vector<TargetPlace> targets, Peers &peers,
+  Entry(RunContext context, NodeId self, Member member,
+        std::vector<TargetLocality> targets, Peers &peers,
         std::function<std::optional<OwnerLink>(const VmName &)> owner)
-      : At(setting), Self(self), It(std::move(member)),
-        Targets(std::move(targets)), Known(peers), FindOwner(std::move(owner)) {
-  }
+      : Context(context), Self(self), OwnMember(std::move(member)),
+        Targets(std::move(targets)), KnownPeers(peers),
+        FindOwner(std::move(owner)) {}
 
-  /// Serves one request of a caller. The request's id is the caller's.
+  /// Serves one request of a caller. The request has the caller's id.
   void serve(StatementRequest request, const std::string &token,
              const OnReply &done);
   std::size_t inFlight() const { return Running; }
   void reset();
-  /// New requests are refused from now on.
+  /// Refuses new requests from now on.
   void drain() { Draining = true; }
   /// The owners of all targets, by this daemon's view of the members.
   std::vector<failover::OwnedTarget> owned() const;
@@ -65,7 +65,8 @@
     OnReply Done;
     TimePoint Deadline;
     int Attempts = 0;
-    int Held = 0; ///< Attempts that an owner refused for a hand-over.
+    /// Attempts that an owner refused for a handover.
+    int HandoverRefusals = 0;
     bool PrimaryNext = false;
     bool OutcomeInDoubt = false;
     GroupView SentView; ///< Of the last attempt.
@@ -84,11 +85,11 @@
                      const StatementAnswer &answer) const;
   void finish(const OperationPtr &op, StatementAnswer answer);
 
-  Setting At;
+  RunContext Context;
   NodeId Self;
-  Member It;
-  std::vector<TargetPlace> Targets;
-  Peers &Known;
+  Member OwnMember;
+  std::vector<TargetLocality> Targets;
+  Peers &KnownPeers;
   std::function<std::optional<OwnerLink>(const VmName &)> FindOwner;
   std::size_t Running = 0;
   std::uint64_t LastId = 0;
--- a/tests/proof/fake_platform.cpp
+++ b/tests/proof/fake_platform.cpp
@@ -27,12 +27,12 @@
     return;
   auto delay = Fault == PlatformFault::Slow ? Duration(SlowAnswer)
                                             : Duration(milliseconds(2));
-  At.Net.timer(Node, delay, [reply, it] { reply(it); });
+  Context.Net.timer(Node, delay, [reply, it] { reply(it); });
 }
 
 void FakePlatform::get(NodeId from, const std::string &key,
                        const OnObject &done) {
-  At.Net.call<Reply>(
+  Context.Net.call<Reply>(
       from, Node, CallLimit,
       [this, key](const std::function<void(Reply)> &reply) {
         answer<Reply>(reply, Objects[key], false);
@@ -43,7 +43,7 @@
 void FakePlatform::put(NodeId from, const std::string &key,
                        std::uint64_t expected, const std::string &value,
                        const OnObject &done) {
-  At.Net.call<Reply>(
+  Context.Net.call<Reply>(
       from, Node, CallLimit,
       [this, key, expected, value](const std::function<void(Reply)> &reply) {
         if (Fault == PlatformFault::Down)
@@ -60,7 +60,7 @@
 }
 
 void FakePlatform::listVms(NodeId from, const OnMembers &done) {
-  At.Net.call<std::vector<Member>>(
+  Context.Net.call<std::vector<Member>>(
       from, Node, CallLimit,
       [this](const std::function<void(std::vector<Member>)> &reply) {
         answer<std::vector<Member>>(reply, Listed, false);
--- a/tests/proof/fake_platform.h
+++ b/tests/proof/fake_platform.h
@@ -1,7 +1,7 @@
 /// \file
-/// The platform's object API as a fake: conditional updates, outages, slowness
-/// and answers lost after the change took effect; and its list of VMs, which
-/// lags.
+/// A fake of the platform's object API with conditional updates, outages, slow
+/// answers, and answers lost after the change took effect; and of its list of
+/// VMs, which may lag.
 
 #ifndef PERIDOTFALL_PROOF_FAKE_PLATFORM_H
 #define PERIDOTFALL_PROOF_FAKE_PLATFORM_H
@@ -26,33 +26,34 @@
 
 class FakePlatform {
 public:
-  FakePlatform(Setting setting, NodeId node) : At(setting), Node(node) {}
+  FakePlatform(RunContext context, NodeId node)
+      : Context(context), Node(node) {}
 
   NodeId node() const { return Node; }
   PlatformFault Fault = PlatformFault::None;
-  /// The list of VMs stays as it was.
+  /// The list of VMs is not updated.
   bool ListLags = false;
 
   using OnObject = std::function<void(Result<StoredObject>)>;
   void get(NodeId from, const std::string &key, const OnObject &done);
-  /// \param expected version to replace. Conflict where it is another.
+  /// \param expected version to replace; Conflict if the version is another.
   void put(NodeId from, const std::string &key, std::uint64_t expected,
            const std::string &value, const OnObject &done);
   using OnMembers = std::function<void(Result<std::vector<Member>>)>;
   void listVms(NodeId from, const OnMembers &done);
 
-  /// The list as it is; a lagging one is told later.
+  /// Sets the members; a lagging list shows them only once it stops lagging.
   void setMembers(std::vector<Member> members);
   void setListLag(bool lags);
 
 private:
-  /// \return the object, or nothing where the version was another.
+  /// The object, or nothing if the version was another.
   using Reply = std::optional<StoredObject>;
-  /// Answers as the fault of the moment has it.
+  /// Answers, or doesn't, according to the current fault.
   template <class R>
   void answer(const std::function<void(R)> &reply, const R &it, bool changed);
 
-  Setting At;
+  RunContext Context;
   NodeId Node;
   std::map<std::string, StoredObject> Objects;
   std::vector<Member> Members;
--- a/tests/proof/fake_target.cpp
+++ b/tests/proof/fake_target.cpp
@@ -46,12 +46,12 @@
   return out;
 }
 
-void FakeTarget::found(bool primary, FakeTarget *following) {
+void FakeTarget::initialize(bool primary, FakeTarget *following) {
   Log.push_back({{1, 1}, {}, "", {}});
   IsPrimary = primary;
   Upstream = primary ? nullptr : following;
   if (primary)
-    At.Past.Promotions.push_back({At.Sim.now(), 1, Name});
+    Context.RunHistory.Promotions.push_back({Context.Sim.now(), 1, Name});
   restart();
 }
 
@@ -74,24 +74,24 @@
   Upstream = nullptr;
   ++Generation;
   Transactions.clear();
-  wakeWaiters();
+  completeWaiters();
 }
 
 StepAnswer FakeTarget::fence(Term term) {
   if (term < CurrentTerm)
     return {};
-  if (term > CurrentTerm && At.Guards.Fencing)
+  if (term > CurrentTerm && Context.Guards.Fencing)
     acceptTerm(term);
   auto it = accepted();
-  if (!At.Guards.PositionsWithTerms)
+  if (!Context.Guards.PositionsWithTerms)
     it.Report.Last.InTerm = 0;
-  if (!At.Guards.Fencing)
+  if (!Context.Guards.Fencing)
     it.Report.CurrentTerm = term;
   return it;
 }
 
 StepAnswer FakeTarget::promote(Term term) {
-  if (!At.Guards.Fencing && term > CurrentTerm)
+  if (!Context.Guards.Fencing && term > CurrentTerm)
     acceptTerm(term);
   if (term != CurrentTerm)
     return {};
@@ -99,10 +99,10 @@
     ++Generation;
     Upstream = nullptr;
     IsPrimary = true;
-    At.Past.Promotions.push_back({At.Sim.now(), term, Name});
-    if (At.Guards.StartOfTermRecord)
+    Context.RunHistory.Promotions.push_back({Context.Sim.now(), term, Name});
+    if (Context.Guards.StartOfTermRecord)
       append({{term, last().Index + 1}, {}, "", {}});
-    At.Reached.pass(Step::Promoted);
+    Context.Hooks.reached(Step::Promoted);
   }
   return accepted();
 }
@@ -121,15 +121,15 @@
 void FakeTarget::awaitPosition(Term term, Position position, Duration wait,
                                const OnReport &done) {
   Waiters.push_back({term, position, done});
-  wakeWaiters();
-  At.Net.timer(Node, wait, [this, done] { done(report()); });
+  completeWaiters();
+  Context.Net.timer(Node, wait, [this, done] { done(report()); });
 }
 
-void FakeTarget::wakeWaiters() {
+void FakeTarget::completeWaiters() {
   auto reached = [&](const Waiter &it) {
     return CurrentTerm > it.InTerm ||
-           (At.Guards.LastRecordTerm ? last() >= it.Until
-                                     : last().Index >= it.Until.Index);
+           (Context.Guards.LastRecordTerm ? last() >= it.Until
+                                          : last().Index >= it.Until.Index);
   };
   std::vector<Waiter> ready;
   for (const auto &it : Waiters)
@@ -144,7 +144,7 @@
   if (!record.Key.empty())
     Keys[record.Key] = Log.size();
   Log.push_back(std::move(record));
-  wakeWaiters();
+  completeWaiters();
 }
 
 std::optional<FakeTarget::Shipment> FakeTarget::ship(Term term,
@@ -152,9 +152,9 @@
   if (!IsPrimary || term != CurrentTerm)
     return std::nullopt;
   Shipment out;
-  out.Known = after.Index <= Log.size() &&
-              (after.Index == 0 || Log[after.Index - 1].At == after);
-  if (out.Known)
+  out.PositionFound = after.Index <= Log.size() &&
+                      (after.Index == 0 || Log[after.Index - 1].At == after);
+  if (out.PositionFound)
     out.Records.assign(Log.begin() + static_cast<std::ptrdiff_t>(after.Index),
                        Log.end());
   return out;
@@ -164,7 +164,7 @@
   if (generation != Generation || !Upstream || IsPrimary)
     return;
   auto *upstream = Upstream;
-  At.Net.call<std::optional<Shipment>>(
+  Context.Net.call<std::optional<Shipment>>(
       Node, upstream->node(), PullLimit,
       [upstream, term = CurrentTerm, after = last()](auto answer) {
         answer(upstream->ship(term, after));
@@ -174,29 +174,31 @@
           return;
         auto pause = Duration(PullInterval);
         if (it && it.value()) {
-          pause = it.value()->Known ? Duration(PullInterval) : Duration(0);
-          At.Net.timer(Node, ShipLag,
-                       [this, generation, pause, shipment = *it.value()] {
-                         if (generation != Generation)
-                           return;
-                         receive(shipment);
-                         At.Net.timer(Node, pause,
-                                      [this, generation] { pull(generation); });
-                       });
+          pause =
+              it.value()->PositionFound ? Duration(PullInterval) : Duration(0);
+          Context.Net.timer(
+              Node, ShipLag, [this, generation, pause, shipment = *it.value()] {
+                if (generation != Generation)
+                  return;
+                receive(shipment);
+                Context.Net.timer(Node, pause,
+                                  [this, generation] { pull(generation); });
+              });
           return;
         }
-        At.Net.timer(Node, pause, [this, generation] { pull(generation); });
+        Context.Net.timer(Node, pause,
+                          [this, generation] { pull(generation); });
       });
 }
 
 void FakeTarget::receive(const Shipment &it) {
-  if (!it.Known)
-    dropLast();
+  if (!it.PositionFound)
+    dropLastRecord();
   for (const auto &record : it.Records)
     append(record);
 }
 
-void FakeTarget::dropLast() {
+void FakeTarget::dropLastRecord() {
   if (Log.empty())
     return;
   auto gone = Log.size() - 1;
@@ -206,20 +208,20 @@
 
 std::optional<ConnectionId> FakeTarget::connect() {
   if (Connected.size() >= Limit)
-    dropIdle();
+    closeIdle();
   if (Connected.size() >= Limit)
     return std::nullopt;
   ConnectionId it{++LastConnection};
-  Connected[it] = At.Sim.now();
+  Connected[it] = Context.Sim.now();
   return it;
 }
 
-/// A holder that died or was cut off never closes its connections; without
-/// this they would be taken for ever.
-void FakeTarget::dropIdle() {
+/// An owner that was killed or cut off never closes its connections; without
+/// this they would stay in use forever.
+void FakeTarget::closeIdle() {
   std::vector<ConnectionId> idle;
   for (const auto &[it, used] : Connected)
-    if (At.Sim.now() - used > IdleLimit)
+    if (Context.Sim.now() - used > IdleLimit)
       idle.push_back(it);
   for (auto it : idle)
     disconnect(it);
@@ -250,13 +252,14 @@
 std::optional<StatementAnswer>
 FakeTarget::replay(const StatementRequest &request) const {
   auto it = Keys.find(request.Key);
-  if (request.Key.empty() || it == Keys.end() || !At.Guards.IdempotencyCheck)
+  if (request.Key.empty() || it == Keys.end() ||
+      !Context.Guards.IdempotencyCheck)
     return std::nullopt;
   auto answer = Log[it->second].Stored;
   answer.Id = request.Id;
   answer.Replayed = true;
-  // The log's end, not the old position: what is confirmed for this answer
-  // must hold in the present term.
+  // The end of the log, not the stored position: the confirmation of this
+  // answer must be valid in the current term.
   answer.At = last();
   return answer;
 }
@@ -266,9 +269,10 @@
   auto found = Connected.find(connection);
   if (found == Connected.end())
     return notRun(request, AnswerCode::Unavailable, "connection is closed");
-  found->second = At.Sim.now();
+  found->second = Context.Sim.now();
   if (LeavingSince && request.Transaction.empty())
-    At.Past.AtLeaving.push_back({Name, At.Sim.now() - *LeavingSince});
+    Context.RunHistory.AtLeaving.push_back(
+        {Name, Context.Sim.now() - *LeavingSince});
   if (Transactions.count(connection) != 0)
     return inTransaction(request, connection);
   if (request.What == Verb::Commit || request.What == Verb::Rollback)
@@ -312,16 +316,17 @@
                                    std::vector<Change> changes) {
   auto it = done(request);
   it.At = {CurrentTerm, last().Index + 1};
-  At.Past.Commits.push_back({At.Sim.now(), it.At, changeOf(request).Effect});
+  Context.RunHistory.Commits.push_back(
+      {Context.Sim.now(), it.At, changeOf(request).Effect});
   append({it.At, std::move(changes), request.Key, it});
-  At.Reached.pass(Step::Committed);
+  Context.Hooks.reached(Step::Committed);
   return it;
 }
 
 StatementAnswer FakeTarget::read(const StatementRequest &request) const {
   if (request.InTerm != 0 && request.InTerm < CurrentTerm)
     return notRun(request, AnswerCode::Fenced, "a higher term is accepted");
-  if (At.Guards.NotBefore && last() < request.NotBefore) {
+  if (Context.Guards.NotBefore && last() < request.NotBefore) {
     auto it =
         notRun(request, AnswerCode::Behind, "has not reached the position");
     it.At = last();
@@ -337,7 +342,7 @@
 }
 
 void FakeTarget::setLeaving(bool leaving) {
-  LeavingSince = leaving ? std::optional(At.Sim.now()) : std::nullopt;
+  LeavingSince = leaving ? std::optional(Context.Sim.now()) : std::nullopt;
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/fake_target.h
+++ b/tests/proof/fake_target.h
@@ -1,7 +1,7 @@
 /// \file
-/// A target of the group as a fake in virtual time: a durable log with terms,
-/// fencing, promotion, asynchronous shipping with a lag, connections with
-/// transactions, and idempotency keys that travel with the log.
+/// A fake target in virtual time: a durable log with terms, fencing, promotion,
+/// asynchronous replication with a lag, connections with transactions, and
+/// idempotency keys that are replicated with the log.
 
 #ifndef PERIDOTFALL_PROOF_FAKE_TARGET_H
 #define PERIDOTFALL_PROOF_FAKE_TARGET_H
@@ -21,16 +21,16 @@
 
 using ConnectionId = ConnectionHandle;
 
-/// What the parts of one run share.
-struct Setting {
+/// Shared by all components of one run.
+struct RunContext {
   Simulation &Sim;
   Network &Net;
-  History &Past;
+  History &RunHistory;
   const Safeguards &Guards;
-  Steps &Reached;
+  StepHooks &Hooks;
 };
 
-/// What a target answers to a step: its report, or a refusal.
+/// A target's answer to a failover step: its report, or a refusal.
 struct StepAnswer {
   failover::StepOutcome Outcome = failover::StepOutcome::Refused;
   failover::TargetReport Report;
@@ -40,12 +40,13 @@
 
 class FakeTarget {
 public:
-  FakeTarget(Setting setting, NodeId node, TargetName name, unsigned limit)
-      : At(setting), Node(node), Name(std::move(name)), Limit(limit) {}
+  FakeTarget(RunContext context, NodeId node, TargetName name, unsigned limit)
+      : Context(context), Node(node), Name(std::move(name)), Limit(limit) {}
 
-  /// Lays the log of term 1; done once for each target of a new group.
-  void found(bool primary, FakeTarget *following);
-  /// After a kill: what is durable is there, connections are gone.
+  /// Writes the first record, of term 1. Called once for each target of a new
+  /// group.
+  void initialize(bool primary, FakeTarget *following);
+  /// Restarts after a kill: durable state is kept, connections are not.
   void restart();
 
   NodeId node() const { return Node; }
@@ -53,7 +54,7 @@
   failover::TargetReport report() const;
   const std::vector<LogRecord> &log() const { return Log; }
 
-  // Calls without a connection.
+  // Calls that need no connection.
   StepAnswer fence(Term term);
   StepAnswer promote(Term term);
   StepAnswer follow(Term term, FakeTarget *primary);
@@ -61,7 +62,7 @@
   void awaitPosition(Term term, Position position, Duration wait,
                      const OnReport &done);
 
-  /// \return nothing where all connections are taken.
+  /// \return nothing if all connections are in use.
   std::optional<ConnectionId> connect();
   void disconnect(ConnectionId it);
   StatementAnswer execute(ConnectionId connection,
@@ -78,7 +79,8 @@
     OnReport Done;
   };
   struct Shipment {
-    bool Known = false; ///< The replica's last record is the primary's, too.
+    /// The primary's log has the replica's last record.
+    bool PositionFound = false;
     std::vector<LogRecord> Records;
   };
 
@@ -88,12 +90,12 @@
   }
   void acceptTerm(Term term);
   void append(LogRecord record);
-  void wakeWaiters();
+  void completeWaiters();
   std::optional<Shipment> ship(Term term, Position after) const;
   void pull(std::uint64_t generation);
   void receive(const Shipment &it);
-  void dropLast();
-  void dropIdle();
+  void dropLastRecord();
+  void closeIdle();
 
   std::optional<StatementAnswer> refuseWrite(const StatementRequest &it) const;
   std::optional<StatementAnswer> replay(const StatementRequest &it) const;
@@ -104,26 +106,27 @@
                                 ConnectionId connection);
   StatementAnswer done(const StatementRequest &request) const;
 
-  Setting At;
+  RunContext Context;
   NodeId Node;
   TargetName Name;
   unsigned Limit;
-  // Durable.
+  // Kept across restarts.
   Term CurrentTerm = 1;
   bool IsPrimary = false;
   std::vector<LogRecord> Log;
-  std::map<std::string, std::size_t> Keys; ///< Place in the log.
+  std::map<std::string, std::size_t> Keys; ///< Index in the log.
   FakeTarget *Upstream = nullptr;
-  // Gone with the process.
-  std::uint64_t Generation = 0; ///< Of the copying.
+  // Lost at a restart.
+  std::uint64_t Generation = 0; ///< Of the replication; older ones stop.
   std::vector<Waiter> Waiters;
-  std::map<ConnectionId, TimePoint> Connected; ///< And when last used.
+  std::map<ConnectionId, TimePoint> Connected; ///< Value: last use.
   std::map<ConnectionId, std::vector<Change>> Transactions;
   std::uint64_t LastConnection = 0;
   std::optional<TimePoint> LeavingSince;
 };
 
-/// How a change travels in a request, and what an answer echoes.
+/// Encoding of a change as parameters of a request, and of what an answer
+/// returns.
 Row paramsOf(const Change &it);
 Change changeOf(const StatementRequest &it);
 EffectId echoOf(const StatementAnswer &it);
--- a/tests/proof/faults.cpp
+++ b/tests/proof/faults.cpp
@@ -40,25 +40,25 @@
     return "lagging list of VMs";
   case FaultKind::OperatorsRacing:
     return "operators racing";
-  case FaultKind::HolderPaused:
+  case FaultKind::LeaderPaused:
     return "paused holder of a duty";
   }
   return "";
 }
 
-std::string toString(FaultPlace it) {
+std::string toString(FaultLocation it) {
   switch (it) {
-  case FaultPlace::Entry:
+  case FaultLocation::Entry:
     return "entry";
-  case FaultPlace::Owner:
+  case FaultLocation::Owner:
     return "owner";
-  case FaultPlace::Primary:
+  case FaultLocation::Primary:
     return "primary";
-  case FaultPlace::Replica:
+  case FaultLocation::Replica:
     return "replica";
-  case FaultPlace::Platform:
+  case FaultLocation::Platform:
     return "platform";
-  case FaultPlace::RegionLink:
+  case FaultLocation::RegionLink:
     return "region link";
   }
   return "";
@@ -68,15 +68,15 @@
   switch (it.Kind) {
   case FaultKind::Kill:
   case FaultKind::Freeze:
-    if (it.Place == FaultPlace::RegionLink)
+    if (it.Location == FaultLocation::RegionLink)
       return "a link is no process: see cut both ways";
-    if (it.Place == FaultPlace::Platform)
+    if (it.Location == FaultLocation::Platform)
       return "the platform is not ours to end: see platform down and slow";
     return "";
   case FaultKind::AnswersCrossed:
-    if (it.Place == FaultPlace::Platform)
+    if (it.Location == FaultLocation::Platform)
       return "no statement's answer comes from the platform";
-    if (it.Place == FaultPlace::Entry)
+    if (it.Location == FaultLocation::Entry)
       return "an entry answers on the stream of the request alone";
     return "";
   case FaultKind::PlatformDown:
@@ -84,11 +84,12 @@
   case FaultKind::PlatformAnswersLost:
   case FaultKind::LaggingList:
   case FaultKind::OperatorsRacing:
-    return it.Place == FaultPlace::Platform ? "" : OnlyPlatform;
+    return it.Location == FaultLocation::Platform ? "" : OnlyPlatform;
   case FaultKind::LaggingReplica:
-    return it.Place == FaultPlace::Replica ? "" : "only a replica lags";
-  case FaultKind::HolderPaused:
-    return it.Place == FaultPlace::Owner ? "" : "only an owner holds a duty";
+    return it.Location == FaultLocation::Replica ? "" : "only a replica lags";
+  case FaultKind::LeaderPaused:
+    return it.Location == FaultLocation::Owner ? ""
+                                               : "only an owner holds a duty";
   default:
     return "";
   }
@@ -97,8 +98,9 @@
 std::vector<Fault> possibleFaults() {
   std::vector<Fault> out;
   for (int kind = 0; kind < FaultKindCount; ++kind)
-    for (int place = 0; place < FaultPlaceCount; ++place) {
-      Fault it{static_cast<FaultKind>(kind), static_cast<FaultPlace>(place)};
+    for (int location = 0; location < FaultLocationCount; ++location) {
+      Fault it{static_cast<FaultKind>(kind),
+               static_cast<FaultLocation>(location)};
       if (whyImpossible(it).empty())
         out.push_back(it);
     }
--- a/tests/proof/faults.h
+++ b/tests/proof/faults.h
@@ -1,5 +1,5 @@
 /// \file
-/// The faults of the matrix and of the random runs.
+/// The faults that the matrix and the random runs inject.
 
 #ifndef PERIDOTFALL_PROOF_FAULTS_H
 #define PERIDOTFALL_PROOF_FAULTS_H
@@ -27,12 +27,12 @@
   LaggingReplica,
   LaggingList,
   OperatorsRacing,
-  HolderPaused,
+  LeaderPaused,
 };
 inline constexpr int FaultKindCount =
-    static_cast<int>(FaultKind::HolderPaused) + 1;
+    static_cast<int>(FaultKind::LeaderPaused) + 1;
 
-enum class FaultPlace : std::uint8_t {
+enum class FaultLocation : std::uint8_t {
   Entry,
   Owner,
   Primary,
@@ -40,21 +40,21 @@
   Platform,
   RegionLink,
 };
-inline constexpr int FaultPlaceCount =
-    static_cast<int>(FaultPlace::RegionLink) + 1;
+inline constexpr int FaultLocationCount =
+    static_cast<int>(FaultLocation::RegionLink) + 1;
 
 struct Fault {
   FaultKind Kind = FaultKind::Kill;
-  FaultPlace Place = FaultPlace::Entry;
+  FaultLocation Location = FaultLocation::Entry;
 
   auto operator<=>(const Fault &) const = default;
 };
 
 std::string toString(FaultKind it);
-std::string toString(FaultPlace it);
-/// \return why the fault cannot strike there; empty: it can.
+std::string toString(FaultLocation it);
+/// \return why the fault cannot happen at its location; empty: it can.
 std::string whyImpossible(const Fault &it);
-/// All that can strike.
+/// All faults that can happen.
 std::vector<Fault> possibleFaults();
 
 } // namespace peridotfall::proof
--- a/tests/proof/history.cpp
+++ b/tests/proof/history.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr int PartsOfTransaction = 2;
+constexpr int StatementsPerTransaction = 2;
 
 /// The history, indexed once for all checks.
 struct Index {
-  std::map<EffectId, int> Survived;        ///< Records that hold the effect.
+  std::map<EffectId, int> Survived;        ///< Records with the effect.
   std::map<EffectId, TimePoint> Committed; ///< Of the surviving record.
   std::set<RequestId> RanFor;              ///< Requests whose change survived.
 };
@@ -51,26 +51,27 @@
 void checkEffects(const History &it, const Index &index, Violations &out) {
   for (const auto &[effect, n] : index.Survived)
     if (n > 1)
-      out.push_back({Broken::Doubled, fmt::format("effect {} stands {} times",
-                                                  effect.Value, n)});
+      out.push_back(
+          {ViolationKind::Doubled,
+           fmt::format("effect {} stands {} times", effect.Value, n)});
   for (const auto &request : it.Requests) {
     if (!changes(request) || !request.Answer)
       continue;
     bool survived = index.Survived.count(request.Effect) != 0;
     if (isDone(request) && !survived)
       out.push_back(
-          {Broken::Lost,
+          {ViolationKind::Lost,
            fmt::format("effect {} acknowledged at term {}",
                        request.Effect.Value, request.Answer->At.InTerm)});
     if (request.Answer->Effect == Outcome::NotRun &&
         index.RanFor.count(request.Id) != 0)
-      out.push_back(
-          {Broken::FalseNotRun, fmt::format("request {}", request.Id.Value)});
+      out.push_back({ViolationKind::FalseNotRun,
+                     fmt::format("request {}", request.Id.Value)});
   }
 }
 
-/// One record must be one caller's, whole: a statement alone, or all parts of
-/// one transaction.
+/// A record must be one complete unit of one caller: a single statement, or all
+/// parts of one transaction.
 void checkMixed(const History &it, Violations &out) {
   for (const auto &record : it.Surviving) {
     if (record.Changes.empty())
@@ -81,26 +82,27 @@
                               return change.Effect == first.Effect &&
                                      change.Transaction == first.Transaction;
                             });
-    std::size_t expected = first.Transaction.empty() ? 1 : PartsOfTransaction;
+    std::size_t expected =
+        first.Transaction.empty() ? 1 : StatementsPerTransaction;
     if (!same || record.Changes.size() != expected)
       out.push_back(
-          {Broken::Mixed,
+          {ViolationKind::Mixed,
            fmt::format("record {}.{} holds {} changes", record.At.InTerm,
                        record.At.Index, record.Changes.size())});
   }
 }
 
-/// What a session must see from a moment on.
-struct Known {
+/// An effect that a session's reads must see from a time on.
+struct ExpectedEffect {
   TimePoint Since;
   EffectId Effect;
 };
 
-/// A write of unknown outcome that had committed counts as well: a caller that
-/// does not see it would order again.
-std::vector<Known> whatSessionKnows(const Index &index,
-                                    const CallerRequest &request) {
-  std::vector<Known> out;
+/// Includes committed writes of unknown outcome: a caller that does not see
+/// such a write would order again.
+std::vector<ExpectedEffect> expectedEffects(const Index &index,
+                                            const CallerRequest &request) {
+  std::vector<ExpectedEffect> out;
   if (!request.Answer)
     return out;
   const auto &answer = *request.Answer;
@@ -121,24 +123,25 @@
 }
 
 void checkReads(const History &it, const Index &index, Violations &out) {
-  std::map<SessionId, std::vector<Known>> known;
+  std::map<SessionId, std::vector<ExpectedEffect>> expected;
   for (const auto &request : it.Requests)
-    for (const auto &item : whatSessionKnows(index, request))
-      known[request.By].push_back(item);
+    for (const auto &item : expectedEffects(index, request))
+      expected[request.By].push_back(item);
   for (const auto &request : it.Requests) {
     if (request.Kind != RequestKind::FreshRead || !isDone(request))
       continue;
-    for (const auto &item : known[request.By])
+    for (const auto &item : expected[request.By])
       if (item.Since < request.Begun &&
           request.Answer->Seen.count(item.Effect) == 0)
-        out.push_back({Broken::OwnWriteUnseen,
+        out.push_back({ViolationKind::OwnWriteUnseen,
                        fmt::format("request {} missed effect {}",
                                    request.Id.Value, item.Effect.Value)});
   }
 }
 
-/// A record appended after a higher term had its primary is an old primary's:
-/// no answer may rest on it, even if its effect survives otherwise.
+/// A record appended after the promotion of a higher term is of a replaced
+/// primary: it may not be acknowledged, even if its effect survives in another
+/// record.
 void checkReplaced(const History &it, Violations &out) {
   std::map<std::pair<Position, EffectId>, TimePoint> when;
   for (const auto &commit : it.Commits)
@@ -153,7 +156,7 @@
       if (promotion.InTerm > request.Answer->At.InTerm &&
           promotion.When < found->second)
         out.push_back(
-            {Broken::ReplacedPrimary,
+            {ViolationKind::ReplacedPrimary,
              fmt::format("effect {} of term {} after term {} began",
                          request.Effect.Value, request.Answer->At.InTerm,
                          promotion.InTerm)});
@@ -167,7 +170,7 @@
     bool wrong = request.Answer->Id != request.Id ||
                  (isDone(request) && request.Answer->Echo != request.Effect);
     if (wrong)
-      out.push_back({Broken::WrongAnswer,
+      out.push_back({ViolationKind::WrongAnswer,
                      fmt::format("request {} got the answer of {}, effect {}",
                                  request.Id.Value, request.Answer->Id.Value,
                                  request.Answer->Echo.Value)});
@@ -179,9 +182,9 @@
   for (const auto &seen : it.Revisions) {
     auto &highest = last[{seen.Vm, seen.Incarnation}];
     if (seen.Revision < highest)
-      out.push_back(
-          {Broken::RevisionFell, fmt::format("{} from {} to {}", seen.Vm.Value,
-                                             highest, seen.Revision)});
+      out.push_back({ViolationKind::RevisionFell,
+                     fmt::format("{} from {} to {}", seen.Vm.Value, highest,
+                                 seen.Revision)});
     highest = seen.Revision;
   }
 }
@@ -192,74 +195,74 @@
   for (const auto &seen : it.Revisions)
     wereInForce.insert(seen.Id);
   for (const auto &applied : it.Applications) {
-    if (applied.Told == Outcome::Done)
+    if (applied.Reported == Outcome::Done)
       accepted = std::max(accepted, applied.Revision);
-    if (applied.Told == Outcome::NotRun && wereInForce.count(applied.Id) != 0)
-      out.push_back({Broken::FalseRefusal, applied.Id});
+    if (applied.Reported == Outcome::NotRun &&
+        wereInForce.count(applied.Id) != 0)
+      out.push_back({ViolationKind::FalseRefusal, applied.Id});
   }
   for (const auto &seen : it.RevisionsAtEnd)
     if (seen.Revision < accepted)
-      out.push_back({Broken::ConfigurationMissing,
+      out.push_back({ViolationKind::ConfigurationMissing,
                      fmt::format("{} has {}, accepted is {}", seen.Vm.Value,
                                  seen.Revision, accepted)});
 }
 
 void checkProgress(const History &it, Violations &out) {
-  if (!it.CalmSince)
+  if (!it.HealedAt)
     return;
-  bool any =
-      std::any_of(it.Requests.begin(), it.Requests.end(),
-                  [&](const CallerRequest &request) {
-                    return changes(request) && isDone(request) &&
-                           request.Begun >= *it.CalmSince + ProgressLimit;
-                  });
+  bool any = std::any_of(it.Requests.begin(), it.Requests.end(),
+                         [&](const CallerRequest &request) {
+                           return changes(request) && isDone(request) &&
+                                  request.Begun >= *it.HealedAt + ProgressLimit;
+                         });
   if (!any)
-    out.push_back({Broken::NoProgress, "after all was healed"});
+    out.push_back({ViolationKind::NoProgress, "after all was healed"});
 }
 
 void checkLeaving(const History &it, Violations &out) {
   for (const auto &work : it.AtLeaving)
     if (work.SinceLeaving > LeavingLimit)
       out.push_back(
-          {Broken::WorkAtLeaving,
+          {ViolationKind::WorkAtLeaving,
            fmt::format("{} after {} ms", work.Target.Value,
                        std::chrono::duration_cast<std::chrono::milliseconds>(
                            work.SinceLeaving)
                            .count())});
   if (it.CutByShutdown > 0)
-    out.push_back(
-        {Broken::CutByShutdown, fmt::format("{} requests", it.CutByShutdown)});
+    out.push_back({ViolationKind::CutByShutdown,
+                   fmt::format("{} requests", it.CutByShutdown)});
 }
 
 } // namespace
 
-std::string toString(Broken it) {
+std::string toString(ViolationKind it) {
   switch (it) {
-  case Broken::Doubled:
+  case ViolationKind::Doubled:
     return "doubled";
-  case Broken::Lost:
+  case ViolationKind::Lost:
     return "lost";
-  case Broken::Mixed:
+  case ViolationKind::Mixed:
     return "mixed";
-  case Broken::OwnWriteUnseen:
+  case ViolationKind::OwnWriteUnseen:
     return "own write unseen";
-  case Broken::FalseNotRun:
+  case ViolationKind::FalseNotRun:
     return "false not run";
-  case Broken::ReplacedPrimary:
+  case ViolationKind::ReplacedPrimary:
     return "replaced primary";
-  case Broken::WrongAnswer:
+  case ViolationKind::WrongAnswer:
     return "wrong answer";
-  case Broken::RevisionFell:
+  case ViolationKind::RevisionFell:
     return "revision fell";
-  case Broken::WorkAtLeaving:
+  case ViolationKind::WorkAtLeaving:
     return "work at leaving target";
-  case Broken::CutByShutdown:
+  case ViolationKind::CutByShutdown:
     return "cut by shutdown";
-  case Broken::ConfigurationMissing:
+  case ViolationKind::ConfigurationMissing:
     return "configuration missing";
-  case Broken::FalseRefusal:
+  case ViolationKind::FalseRefusal:
     return "false refusal";
-  case Broken::NoProgress:
+  case ViolationKind::NoProgress:
     return "no progress";
   }
   return "";
--- a/tests/proof/history.h
+++ b/tests/proof/history.h
@@ -1,7 +1,7 @@
 /// \file
-/// The callers' view of a run, and a checker that knows nothing of the
-/// program: it judges by what was asked, what was answered, and what the
-/// surviving primary holds at the end.
+/// The callers' view of a run, and a checker that is independent of the
+/// program: it compares the requests, their answers and the log of the last
+/// primary at the end.
 
 #ifndef PERIDOTFALL_PROOF_HISTORY_H
 #define PERIDOTFALL_PROOF_HISTORY_H
@@ -19,18 +19,18 @@
 
 namespace peridotfall::proof {
 
-/// What a caller wants done once; a request sent again under the same key
-/// wants the same effect.
+/// An effect that a caller wants exactly once. A request sent again under the
+/// same key has the same effect.
 using EffectId = Handle<struct EffectTag>;
 using SessionId = Handle<struct SessionTag>;
 
-/// One change, as it stands in a log.
+/// One change in a log.
 struct Change {
   EffectId Effect;
   SessionId By;
-  RequestId Request;       ///< The caller's request that ran it.
-  std::string Transaction; ///< Empty: a statement of its own.
-  int Part = 0;            ///< Of its transaction; 0 for a statement.
+  RequestId Request;       ///< The caller's request that made it.
+  std::string Transaction; ///< Empty: a single statement.
+  int Part = 0;            ///< Number in its transaction; 0: single statement.
 
   auto operator<=>(const Change &) const = default;
 };
@@ -39,21 +39,21 @@
   Position At;
   std::vector<Change> Changes; ///< Empty: a start-of-term record.
   std::string Key;
-  StatementAnswer Stored; ///< Under the key.
+  StatementAnswer Stored; ///< The answer stored under the key.
 
   bool operator==(const LogRecord &) const = default;
 };
 
 enum class RequestKind : std::uint8_t { Write, Transaction, FreshRead };
 
-/// What a caller was told at the end of one request.
+/// The answer that a caller got to one request.
 struct CallerAnswer {
   TimePoint Ended;
   RequestId Id;
   Outcome Effect = Outcome::NotRun;
   AnswerCode Code = AnswerCode::Ok;
   Position At;
-  EffectId Echo;           ///< Effect the answer speaks of.
+  EffectId Echo;           ///< The effect that the answer refers to.
   std::set<EffectId> Seen; ///< Of a read: the session's own effects.
 
   bool operator==(const CallerAnswer &) const = default;
@@ -66,12 +66,12 @@
   EffectId Effect; ///< Of a write or a transaction.
   bool Repeatable = false;
   TimePoint Begun;
-  std::optional<CallerAnswer> Answer; ///< None: the caller gave up waiting.
+  std::optional<CallerAnswer> Answer; ///< None: the caller timed out.
 
   bool operator==(const CallerRequest &) const = default;
 };
 
-/// A record appended by a target that believed it led.
+/// A record appended by a target that assumed it was the primary.
 struct Commit {
   TimePoint When;
   Position At;
@@ -98,11 +98,11 @@
   auto operator<=>(const RevisionSeen &) const = default;
 };
 
-/// What an operator was told of a configuration.
+/// The result of a configuration change that was reported to its operator.
 struct Applied {
   std::string Id;
   std::uint64_t Revision = 0;
-  Outcome Told = Outcome::Unknown;
+  Outcome Reported = Outcome::Unknown;
 
   auto operator<=>(const Applied &) const = default;
 };
@@ -125,38 +125,38 @@
   std::vector<LeavingWork> AtLeaving;
   std::uint64_t CutByShutdown = 0;  ///< Requests cut by a graceful shutdown.
   std::vector<LogRecord> Surviving; ///< Log of the last primary.
-  /// From here on all is healed; nothing: it never was.
-  std::optional<TimePoint> CalmSince;
+  /// When all faults ended; empty: they did not.
+  std::optional<TimePoint> HealedAt;
 };
 
-enum class Broken : std::uint8_t {
-  Doubled,         ///< An effect stands twice in the surviving log.
-  Lost,            ///< Acknowledged and not in the surviving log.
-  Mixed,           ///< A record holds parts of two requests, or half of one.
-  OwnWriteUnseen,  ///< A read missed what its session had written or seen.
-  FalseNotRun,     ///< Said "not run", and it ran.
-  ReplacedPrimary, ///< Acknowledged by a primary already replaced.
-  WrongAnswer,     ///< An answer to somebody else's request.
-  RevisionFell,    ///< A daemon went back to an older configuration.
-  WorkAtLeaving,   ///< A leaving target got new work after the limit.
-  CutByShutdown,   ///< A graceful shutdown cut a request.
-  ConfigurationMissing, ///< Accepted, and not in force everywhere at the end.
-  FalseRefusal,         ///< Told refused, and it came into force.
-  NoProgress,           ///< All is healed, and no write is acknowledged.
+enum class ViolationKind : std::uint8_t {
+  Doubled,              ///< An effect is in the surviving log twice.
+  Lost,                 ///< Acknowledged, but not in the surviving log.
+  Mixed,                ///< A record has parts of two requests, or half of one.
+  OwnWriteUnseen,       ///< A read missed what its session had written or seen.
+  FalseNotRun,          ///< Answered "not run", but it ran.
+  ReplacedPrimary,      ///< Acknowledged by a primary already replaced.
+  WrongAnswer,          ///< The answer to another request.
+  RevisionFell,         ///< A daemon returned to an older configuration.
+  WorkAtLeaving,        ///< A leaving target got new work after the limit.
+  CutByShutdown,        ///< A graceful shutdown cut a request.
+  ConfigurationMissing, ///< Accepted, but not in force everywhere at the end.
+  FalseRefusal,         ///< Reported as refused, but it came into force.
+  NoProgress,           ///< All faults ended, but no write is acknowledged.
 };
 
 struct Violation {
-  Broken What = Broken::Lost;
+  ViolationKind What = ViolationKind::Lost;
   std::string Detail;
 
   auto operator<=>(const Violation &) const = default;
 };
 
-/// How long a leaving target may still get new work.
+/// A leaving target may get new work for this long.
 inline constexpr std::chrono::milliseconds LeavingLimit{3'000};
 
-std::string toString(Broken it);
-/// How long after all is healed writes may still be impossible.
+std::string toString(ViolationKind it);
+/// Writes may be impossible for this long after all faults ended.
 inline constexpr std::chrono::milliseconds ProgressLimit{4'000};
 
 /// \return all violations, in a fixed order.
--- a/tests/proof/matrix.cpp
+++ b/tests/proof/matrix.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds Warmup{1'500};
-/// For the step to be reached, once what leads to it has begun.
+/// Time for the step to be reached after its trigger.
 constexpr milliseconds StepLimit{8'000};
 constexpr milliseconds FaultSpan{2'500};
 constexpr milliseconds Poll{50};
@@ -23,8 +23,9 @@
   return "";
 }
 
-/// Begins what leads to the step; requests come of themselves.
-void lead(World &world, Step step) {
+/// Triggers what leads to the step. Steps of requests need no trigger: callers
+/// send requests all the time.
+void trigger(World &world, Step step) {
   switch (step) {
   case Step::Nominated:
   case Step::OneFenced:
@@ -51,11 +52,11 @@
 std::vector<Cell> singleCells() {
   std::vector<Cell> out;
   for (int kind = 0; kind < FaultKindCount; ++kind)
-    for (int place = 0; place < FaultPlaceCount; ++place)
+    for (int location = 0; location < FaultLocationCount; ++location)
       for (int step = 0; step < StepCount; ++step)
-        out.push_back(
-            {{{static_cast<FaultKind>(kind), static_cast<FaultPlace>(place)}},
-             static_cast<Step>(step)});
+        out.push_back({{{static_cast<FaultKind>(kind),
+                         static_cast<FaultLocation>(location)}},
+                       static_cast<Step>(step)});
   return out;
 }
 
@@ -70,9 +71,9 @@
   return out;
 }
 
-Verdict runCell(const Cell &cell, std::uint64_t seed,
-                const Safeguards &guards) {
-  Verdict out;
+CellResult runCell(const Cell &cell, std::uint64_t seed,
+                   const Safeguards &guards) {
+  CellResult out;
   out.Impossible = whyImpossible(cell);
   if (!out.Impossible.empty())
     return out;
@@ -80,14 +81,14 @@
   world.runFor(Warmup);
   std::vector<Action> ends;
   world.steps().onNext(cell.At, [&] {
-    // Not within the step itself: the fault comes between two events.
-    world.soon([&] {
+    // Injected as an event of its own, not while the step's event runs.
+    world.schedule([&] {
       out.Ran = true;
       for (const auto &it : cell.Faults)
-        ends.push_back(world.strike(it));
+        ends.push_back(world.inject(it));
     });
   });
-  lead(world, cell.At);
+  trigger(world, cell.At);
   auto limit = world.now() + StepLimit;
   while (!out.Ran && world.now() < limit)
     world.runFor(Poll);
@@ -98,7 +99,7 @@
   return out;
 }
 
-void count(MatrixReport &report, const Verdict &it) {
+void count(MatrixReport &report, const CellResult &it) {
   ++report.Cells;
   report.Run += it.Ran ? 1 : 0;
   report.Impossible += it.Impossible.empty() ? 0 : 1;
@@ -109,11 +110,11 @@
   std::string out;
   for (const auto &it : cell.Faults)
     out += fmt::format("{}{} at {}", out.empty() ? "" : " + ",
-                       toString(it.Kind), toString(it.Place));
+                       toString(it.Kind), toString(it.Location));
   return fmt::format("{} | {}", out, toString(cell.At));
 }
 
-std::string describe(const Verdict &it) {
+std::string describe(const CellResult &it) {
   if (!it.Impossible.empty())
     return "impossible: " + it.Impossible;
   if (!it.Violations.empty())
--- a/tests/proof/matrix.h
+++ b/tests/proof/matrix.h
@@ -1,5 +1,5 @@
 /// \file
-/// The fault matrix: every fault, at every place, at every step, as a table.
+/// The fault matrix: every kind of fault, at every location, at every step.
 
 #ifndef PERIDOTFALL_PROOF_MATRIX_H
 #define PERIDOTFALL_PROOF_MATRIX_H
@@ -15,7 +15,7 @@
 
 namespace peridotfall::proof {
 
-/// One cell: the faults strike together as the step is passed.
+/// One cell: its faults are injected together when the step is reached.
 struct Cell {
   std::vector<Fault> Faults;
   Step At = Step::Queued;
@@ -23,35 +23,35 @@
   auto operator<=>(const Cell &) const = default;
 };
 
-struct Verdict {
-  std::string Impossible; ///< The reason; empty: it can happen.
-  bool Ran = false;       ///< The step was reached, and the faults struck.
+struct CellResult {
+  std::string Impossible; ///< Why the cell cannot be run; empty: it can.
+  bool Ran = false;       ///< The step was reached and the faults injected.
   std::vector<Violation> Violations;
 
-  auto operator<=>(const Verdict &) const = default;
+  auto operator<=>(const CellResult &) const = default;
 };
 
 struct MatrixReport {
   std::size_t Cells = 0;
   std::size_t Run = 0;
   std::size_t Impossible = 0;
-  std::size_t Violations = 0; ///< Cells that broke a promise.
+  std::size_t Violations = 0; ///< Cells with at least one violation.
 
   auto operator<=>(const MatrixReport &) const = default;
 };
 
-/// Every fault at every place and step.
+/// Every fault at every location and step.
 std::vector<Cell> singleCells();
-/// Every two faults that can strike, each pair at one step; the steps change
-/// from pair to pair.
+/// Every pair of possible faults, each at one step; the steps rotate from pair
+/// to pair.
 std::vector<Cell> pairCells();
 
-Verdict runCell(const Cell &cell, std::uint64_t seed,
-                const Safeguards &guards = {});
-void count(MatrixReport &report, const Verdict &it);
+CellResult runCell(const Cell &cell, std::uint64_t seed,
+                   const Safeguards &guards = {});
+void count(MatrixReport &report, const CellResult &it);
 
 std::string describe(const Cell &it);
-std::string describe(const Verdict &it);
+std::string describe(const CellResult &it);
 /// "cells N, run N, impossible N, violations N".
 std::string summary(const MatrixReport &it);
 
--- a/tests/proof/matrix_test.cpp
+++ b/tests/proof/matrix_test.cpp
@@ -7,31 +7,31 @@
 namespace {
 
 constexpr std::uint64_t Seed = 1;
-// CI runs a sample; scripts/fault-matrix.sh runs every cell. Both are prime to
-// the number of steps and places, so that the sample goes through all.
-constexpr std::size_t EverySingle = 67;
-constexpr std::size_t EveryPair = 199;
-
-void checkSample(const std::vector<Cell> &cells, std::size_t every) {
-  for (std::size_t n = 0; n < cells.size(); n += every) {
-    auto verdict = runCell(cells[n], Seed);
-    auto text = describe(cells[n]) + ": " + describe(verdict);
-    CHECK_MESSAGE(verdict.Violations.empty(), text);
-    CHECK_MESSAGE((verdict.Ran || !verdict.Impossible.empty()), text);
+// CI runs a sample; scripts/fault-matrix.sh runs every cell. Both strides are
+// coprime to the numbers of steps and locations, so that the sample covers all.
+constexpr std::size_t SingleStride = 67;
+constexpr std::size_t PairStride = 199;
+
+void checkSample(const std::vector<Cell> &cells, std::size_t stride) {
+  for (std::size_t n = 0; n < cells.size(); n += stride) {
+    auto result = runCell(cells[n], Seed);
+    auto text = describe(cells[n]) + ": " + describe(result);
+    CHECK_MESSAGE(result.Violations.empty(), text);
+    CHECK_MESSAGE((result.Ran || !result.Impossible.empty()), text);
   }
 }
 
 } // namespace
 
-// One fault strikes as a request, a change of primary, a configuration or a
-// shutdown passes a step; callers go on, and every promise is checked.
-TEST_CASE("fault matrix, sample of single faults, breaks no promise") {
-  checkSample(singleCells(), EverySingle);
+// Guards against violations under one fault that is injected as a request, a
+// change of primary, a configuration change or a shutdown reaches a step.
+TEST_CASE("fault matrix, sample of single faults, has no violation") {
+  checkSample(singleCells(), SingleStride);
 }
 
-// Two faults strike at the same moment.
-TEST_CASE("fault matrix, sample of pairs, breaks no promise") {
-  checkSample(pairCells(), EveryPair);
+// Guards against violations under two faults injected at the same time.
+TEST_CASE("fault matrix, sample of pairs, has no violation") {
+  checkSample(pairCells(), PairStride);
 }
 
 TEST_CASE("fault matrix, each cell that cannot be run, gives its reason") {
@@ -40,18 +40,19 @@
       CHECK_FALSE(runCell(it, Seed).Ran);
 }
 
-// A session's write had an unknown outcome and survived. Its owner froze, and
-// woke with the old primary as its view: read there without a confirmation,
-// the session misses its write and would order again.
+// Guards against unconfirmed reads at a replaced primary. A session's write had
+// an unknown outcome and survived; the owner was paused and resumes with the
+// old primary in its view. A read there misses the write, and the caller would
+// order again.
 TEST_CASE("fault matrix, frozen owner of a replaced primary, reads nothing "
           "unconfirmed") {
-  Cell cell{{{FaultKind::Freeze, FaultPlace::Owner}}, Step::Nominated};
+  Cell cell{{{FaultKind::Freeze, FaultLocation::Owner}}, Step::Nominated};
   Safeguards without;
   without.ReadsConfirmed = false;
-  constexpr std::uint64_t Shows = 61;
-  constexpr std::uint64_t Showed = 6;
-  CHECK_FALSE(runCell(cell, Shows, without).Violations.empty());
-  CHECK(runCell(cell, Shows).Violations.empty());
-  CHECK(runCell(cell, Showed).Violations.empty());
+  constexpr std::uint64_t FailingSeed = 61;
+  constexpr std::uint64_t FormerlyFailingSeed = 6;
+  CHECK_FALSE(runCell(cell, FailingSeed, without).Violations.empty());
+  CHECK(runCell(cell, FailingSeed).Violations.empty());
+  CHECK(runCell(cell, FormerlyFailingSeed).Violations.empty());
   CHECK(runCell(cell, Seed).Violations.empty());
 }
--- a/tests/proof/network.cpp
+++ b/tests/proof/network.cpp
@@ -49,16 +49,16 @@
   if (way.Cut)
     return;
   auto jitter = std::chrono::microseconds(Sim.Rng.below(500));
-  timer(to, OneWay + jitter + way.Extra, deliver);
+  timer(to, OneWay + jitter + way.ExtraDelay, deliver);
 }
 
 void Network::answer(NodeId from, NodeId to, StatementAnswer it,
                      const OnAnswer &deliver) {
   const auto &way = link(from, to);
-  if (Sim.Rng.chance(way.LosePermille))
+  if (Sim.Rng.chance(way.LossPermille))
     return;
-  // A request comes over a connection, and so never twice of itself.
-  int copies = Sim.Rng.chance(way.DoublePermille) ? 2 : 1;
+  // Requests are never duplicated, since they are sent over a connection.
+  int copies = Sim.Rng.chance(way.DuplicatePermille) ? 2 : 1;
   auto pass = [this, from, to, deliver, copies](const StatementAnswer &value) {
     for (int n = 0; n < copies; ++n)
       send(from, to, [deliver, value] { deliver(value); });
@@ -67,13 +67,13 @@
     pass(it);
     return;
   }
-  auto held = Held.find({from, to});
-  if (held == Held.end()) {
-    Held[{from, to}] = {std::move(it), pass};
+  auto held = CrossedAnswers.find({from, to});
+  if (held == CrossedAnswers.end()) {
+    CrossedAnswers[{from, to}] = {std::move(it), pass};
     return;
   }
   auto first = std::move(held->second);
-  Held.erase(held);
+  CrossedAnswers.erase(held);
   first.Deliver(it);
   pass(first.Answer);
 }
--- a/tests/proof/network.h
+++ b/tests/proof/network.h
@@ -1,6 +1,7 @@
 /// \file
-/// Fake links between nodes, each way on its own: cut, slowed, losing or
-/// doubling; and nodes that are killed, started, paused and resumed.
+/// Fake links between nodes, which can be cut, slowed, or lose or duplicate
+/// answers in each direction separately; and nodes that can be killed, started,
+/// paused and resumed.
 
 #ifndef PERIDOTFALL_PROOF_NETWORK_H
 #define PERIDOTFALL_PROOF_NETWORK_H
@@ -27,10 +28,10 @@
 /// One direction between two nodes.
 struct Link {
   bool Cut = false;
-  Duration Extra{};            ///< Added to the delay.
-  unsigned LosePermille = 0;   ///< Answers lost on the way.
-  unsigned DoublePermille = 0; ///< Answers that come twice.
-  bool Crossed = false;        ///< Answers change places, two by two.
+  Duration ExtraDelay{};          ///< Added to the delay.
+  unsigned LossPermille = 0;      ///< Answers that are lost.
+  unsigned DuplicatePermille = 0; ///< Answers that are delivered twice.
+  bool Crossed = false;           ///< Each two consecutive answers are swapped.
 
   auto operator<=>(const Link &) const = default;
 };
@@ -46,25 +47,24 @@
 
   void pause(NodeId node);
   void resume(NodeId node);
-  /// What was on its way to it, and its timers, are dropped.
+  /// Drops its timers and the messages in flight to it.
   void kill(NodeId node);
   void start(NodeId node);
   bool isUp(NodeId node) const { return Nodes[node.Index].Up; }
   bool isPaused(NodeId node) const { return Nodes[node.Index].Paused; }
 
-  /// Runs the action at the node after a time; a paused node runs it when it
-  /// is resumed, a killed one never.
+  /// Runs the action at the node after a delay. A paused node runs it when it
+  /// resumes, a killed one never.
   void timer(NodeId node, Duration delay, Action action);
   void send(NodeId from, NodeId to, const Action &deliver);
   using OnAnswer = std::function<void(StatementAnswer)>;
-  /// Sends an answer, which the link may lose or exchange for another.
+  /// Sends an answer, which the link may lose, duplicate or swap with another.
   void answer(NodeId from, NodeId to, StatementAnswer it,
               const OnAnswer &deliver);
 
-  /// A call with its answer. \p serve runs at the callee and is given the
-  /// function that answers. \p done runs once at the caller: with the answer,
-  /// with Unavailable where the callee refused the connection, or with Unknown
-  /// when the limit has passed.
+  /// Calls a node. \p serve runs at the callee with the function that sends the
+  /// answer. \p done runs once at the caller: with the answer, with Unavailable
+  /// if the callee refused the connection, or with Unknown after \p limit.
   template <class R>
   void call(NodeId from, NodeId to, Duration limit,
             std::function<void(std::function<void(R)>)> serve,
@@ -75,7 +75,7 @@
     bool Up = true;
     bool Paused = false;
     std::uint64_t Incarnation = 1;
-    std::vector<Action> Deferred; ///< While it is paused.
+    std::vector<Action> Deferred; ///< Events that were due while it was paused.
   };
   struct HeldAnswer {
     StatementAnswer Answer;
@@ -89,7 +89,7 @@
   Duration OneWay;
   std::vector<Node> Nodes;
   std::map<Direction, Link> Links;
-  std::map<Direction, HeldAnswer> Held;
+  std::map<Direction, HeldAnswer> CrossedAnswers;
 };
 
 template <class R>
@@ -100,10 +100,10 @@
       std::make_shared<std::function<void(Result<R>)>>(std::move(done));
   auto finish = [this, from, incarnation = Nodes[from.Index].Incarnation,
                  pending](Result<R> it) {
-    // Whoever asked is gone, and another has taken its place.
+    // The caller was restarted; its new process must not get the answer.
     if (Nodes[from.Index].Incarnation != incarnation)
       return;
-    // The limit and a doubled answer come after the first: dropped.
+    // A timeout or a duplicate after the first result is dropped.
     if (auto first = std::exchange(*pending, nullptr))
       first(std::move(it));
   };
@@ -120,7 +120,7 @@
     if constexpr (std::is_same_v<R, StatementAnswer>) {
       answer(to, from, std::move(it),
              [finish](StatementAnswer value) { finish(std::move(value)); });
-    } else if (!Sim.Rng.chance(link(to, from).LosePermille)) {
+    } else if (!Sim.Rng.chance(link(to, from).LossPermille)) {
       send(to, from, [finish, it] { finish(it); });
     }
   };
--- a/tests/proof/operators.h
+++ b/tests/proof/operators.h
@@ -1,6 +1,6 @@
 /// \file
-/// Operators who apply configurations, and settle a lost answer by reading
-/// back the identifier of their own change.
+/// Operators that apply configurations. After a lost answer they read the
+/// object back and look for the identifier of their own change.
 
 #ifndef PERIDOTFALL_PROOF_OPERATORS_H
 #define PERIDOTFALL_PROOF_OPERATORS_H
@@ -13,26 +13,25 @@
 
 class Operators {
 public:
-  Operators(Setting setting, NodeId node, FakePlatform &platform)
-      : At(setting), Node(node), Platform(platform) {}
+  Operators(RunContext context, NodeId node, FakePlatform &platform)
+      : Context(context), Node(node), Platform(platform) {}
 
-  /// Applies one configuration; what the operator is told at the end goes
-  /// into the history.
+  /// Applies one configuration and records the reported outcome in the history.
   void apply();
 
 private:
   struct Change {
-    Configuration It;
-    int TriesLeft = 0;
-    bool InDoubt = false; ///< An earlier try may have taken effect.
+    Configuration Desired;
+    int AttemptsLeft = 0;
+    bool InDoubt = false; ///< An earlier attempt may have taken effect.
   };
 
   void read(Change change);
   void write(Change change, std::uint64_t expected);
-  void again(const Change &change);
-  void tell(const Change &change, Outcome told);
+  void retry(const Change &change);
+  void recordOutcome(const Change &change, Outcome reported);
 
-  Setting At;
+  RunContext Context;
   NodeId Node;
   FakePlatform &Platform;
   std::uint64_t LastId = 0;
--- a/tests/proof/owner.cpp
+++ b/tests/proof/owner.cpp
@@ -9,15 +9,15 @@
 
 constexpr milliseconds ConnectLimit{500};
 constexpr milliseconds ConfirmLimit{1'000};
-/// For the replica's answer at the end of its wait to travel.
+/// Added to a replica's wait, for its answer to arrive.
 constexpr milliseconds ConfirmGrace{50};
-/// A transaction left alone this long is dropped, with its connection.
+/// A transaction idle this long is dropped with its connection.
 constexpr milliseconds TransactionLimit{2'000};
 constexpr milliseconds RetryAfter{500};
 constexpr milliseconds ResetDelay{2};
 
-/// A connection whose last answer was lost may still carry it, or hold an
-/// open transaction.
+/// A connection whose last answer was lost may still deliver it, or have an
+/// open transaction, so it is not reused.
 bool leavesUsable(const StatementAnswer &it) {
   return it.Effect != Outcome::Unknown && it.Code != AnswerCode::Unavailable;
 }
@@ -27,7 +27,7 @@
 void Owner::reset() {
   HeldUntil = {};
   Pools.clear();
-  Confirms.clear();
+  Confirmations.clear();
   Open.clear();
   Running = 0;
 }
@@ -52,13 +52,13 @@
   };
   auto work =
       std::make_shared<Work>(Work{std::move(request), std::move(counted), {}});
-  At.Net.timer(Self, budget, [this, name, work] { expire(name, work); });
+  Context.Net.timer(Self, budget, [this, name, work] { expire(name, work); });
   if (!work->Request.Transaction.empty()) {
     executeInTransaction(work);
     return;
   }
   Pools[name].Queue.push_back(work);
-  At.Reached.pass(Step::Queued);
+  Context.Hooks.reached(Step::Queued);
   pump(name);
 }
 
@@ -72,7 +72,7 @@
   }
   Pools[name].Waiting.erase(work->Connection);
   finish(name, work,
-         At.Guards.TruthfulNotRun
+         Context.Guards.TruthfulNotRun
              ? unknownOutcome(work->Request, AnswerCode::ConnectionLost,
                               "no answer")
              : notRun(work->Request, AnswerCode::ConnectionLost, "no answer"));
@@ -80,7 +80,7 @@
 
 void Owner::targetClosed(const TargetName &target) {
   auto &pool = Pools[target];
-  pool.Held -= static_cast<unsigned>(pool.Idle.size());
+  pool.Connections -= static_cast<unsigned>(pool.Idle.size());
   pool.Idle.clear();
   auto waiting = std::exchange(pool.Waiting, {});
   for (const auto &[connection, work] : waiting)
@@ -94,7 +94,8 @@
   auto &pool = Pools[name];
   while (!pool.Queue.empty()) {
     auto work = pool.Queue.front();
-    bool held = work->Request.Mode == Access::Write && At.Sim.now() < HeldUntil;
+    bool held =
+        work->Request.Mode == Access::Write && Context.Sim.now() < HeldUntil;
     if (!work->Done || held) {
       pool.Queue.pop_front();
       if (work->Done)
@@ -104,7 +105,7 @@
       continue;
     }
     if (pool.Idle.empty()) {
-      if (pool.Held < Most)
+      if (pool.Connections < MaxConnections)
         connect(name);
       return;
     }
@@ -117,8 +118,8 @@
 
 void Owner::connect(const TargetName &name) {
   auto *target = find(name);
-  ++Pools[name].Held;
-  At.Net.call<std::optional<ConnectionId>>(
+  ++Pools[name].Connections;
+  Context.Net.call<std::optional<ConnectionId>>(
       Self, target->node(), ConnectLimit,
       [target](auto answer) { answer(target->connect()); },
       [this, name](const Result<std::optional<ConnectionId>> &it) {
@@ -128,10 +129,10 @@
           pump(name);
           return;
         }
-        --pool.Held;
-        if (pool.Held > 0)
+        --pool.Connections;
+        if (pool.Connections > 0)
           return;
-        // With no connection at all nothing would take from the queue.
+        // Without any connection nothing would serve the queue.
         auto refused = std::exchange(pool.Queue, {});
         for (const auto &work : refused)
           if (work->Done)
@@ -147,22 +148,24 @@
   work->Connection = connection;
   Pools[name].Waiting[connection] = work;
   auto request = work->Request;
-  At.Net.send(Self, target->node(), [this, name, target, connection, request] {
-    At.Net.answer(target->node(), Self, target->execute(connection, request),
-                  [this, name, connection](StatementAnswer it) {
-                    received(name, connection, std::move(it));
-                  });
-  });
-  if (!At.Net.isUp(target->node()))
-    At.Net.timer(Self, ResetDelay, [this, name, work] {
+  Context.Net.send(
+      Self, target->node(), [this, name, target, connection, request] {
+        Context.Net.answer(target->node(), Self,
+                           target->execute(connection, request),
+                           [this, name, connection](StatementAnswer it) {
+                             received(name, connection, std::move(it));
+                           });
+      });
+  if (!Context.Net.isUp(target->node()))
+    Context.Net.timer(Self, ResetDelay, [this, name, work] {
       if (work->Done)
         expire(name, work);
     });
-  At.Reached.pass(Step::Sent);
+  Context.Hooks.reached(Step::Sent);
 }
 
-/// Late, doubled and crossed answers come on a connection that by now carries
-/// another request: only its id tells.
+/// Late, duplicated and crossed answers arrive on a connection that already
+/// serves another request. Only the request id identifies them.
 void Owner::received(const TargetName &name, ConnectionId connection,
                      StatementAnswer answer) {
   auto &waiting = Pools[name].Waiting;
@@ -170,7 +173,7 @@
   if (it == waiting.end())
     return;
   auto work = it->second;
-  if (At.Guards.AnswerIdChecked && answer.Id != work->Request.Id)
+  if (Context.Guards.AnswerIdChecked && answer.Id != work->Request.Id)
     return;
   waiting.erase(it);
   if (work->Done)
@@ -179,13 +182,13 @@
 
 void Owner::finish(const TargetName &name, const WorkPtr &work,
                    StatementAnswer answer) {
-  bool usable = leavesUsable(answer) || !At.Guards.ConnectionDropped;
+  bool usable = leavesUsable(answer) || !Context.Guards.ConnectionDropped;
   answer.ServedBy = name;
   bool inTransaction = !work->Request.Transaction.empty();
   if (work->Request.What == Verb::Begin && answer.Code == AnswerCode::Ok)
     openTransaction(name, work, answer);
   else if (!inTransaction || endTransaction(work, answer, usable))
-    giveBack(name, work->Connection, usable);
+    releaseConnection(name, work->Connection, usable);
   confirm(work, std::move(answer));
 }
 
@@ -195,13 +198,13 @@
       fmt::format("{}.{}.{}", Self.Index, name.Value, ++LastTransaction);
   answer.Transaction = handle;
   Open[handle] = {name, work->Connection, answer.At.InTerm, false};
-  At.Net.timer(Self, TransactionLimit, [this, handle] {
+  Context.Net.timer(Self, TransactionLimit, [this, handle] {
     auto it = Open.find(handle);
     if (it == Open.end() || it->second.Busy)
       return;
     auto gone = it->second;
     Open.erase(it);
-    giveBack(gone.Target, gone.Connection, false);
+    releaseConnection(gone.Target, gone.Connection, false);
   });
 }
 
@@ -222,16 +225,16 @@
   return ended;
 }
 
-void Owner::giveBack(const TargetName &name, ConnectionId connection,
-                     bool usable) {
+void Owner::releaseConnection(const TargetName &name, ConnectionId connection,
+                              bool usable) {
   auto &pool = Pools[name];
   if (usable) {
     pool.Idle.push_back(connection);
   } else {
-    --pool.Held;
+    --pool.Connections;
     auto *target = find(name);
-    At.Net.send(Self, target->node(),
-                [target, connection] { target->disconnect(connection); });
+    Context.Net.send(Self, target->node(),
+                     [target, connection] { target->disconnect(connection); });
   }
   pump(name);
 }
@@ -245,10 +248,10 @@
     return;
   }
   it->second.Busy = true;
-  // Failure: the target was fenced, dropped the transaction, and leads again
-  // in a higher term. Symptom: a later statement of the transaction runs and
-  // commits alone. With the term of its beginning it is refused.
-  if (At.Guards.TransactionTerm)
+  // A target that was fenced has dropped the transaction and may be primary
+  // again in a higher term; a later statement of the transaction would run and
+  // commit alone. With the term in which the transaction began it is refused.
+  if (Context.Guards.TransactionTerm)
     work->Request.InTerm = it->second.InTerm;
   send(it->second.Target, work, it->second.Connection);
 }
@@ -259,54 +262,56 @@
       request.Mode == Access::Write &&
       (request.What == Verb::Statement && request.Transaction.empty());
   bool commits = request.What == Verb::Commit;
-  // A read that names a term is one for the primary.
+  // Only reads sent to the primary have a term.
   bool reads = request.Mode == Access::FreshRead && request.InTerm != 0 &&
-               At.Guards.ReadsConfirmed;
+               Context.Guards.ReadsConfirmed;
   auto done = std::exchange(work->Done, nullptr);
   if (answer.Effect != Outcome::Done || !(writes || commits || reads) ||
-      (!At.Guards.Confirmation && !reads)) {
+      (!Context.Guards.Confirmation && !reads)) {
     done(std::move(answer));
     return;
   }
   auto name = request.Target;
   auto at = answer.At;
-  auto &it = Confirms[name];
+  auto &it = Confirmations[name];
   TicketHandle ticket;
-  auto actions = failover::onCommitted(
-      it.State, at, At.Sim.now() + ConfirmLimit, At.Sim.now(), ticket);
+  auto actions =
+      failover::onCommitted(it.State, at, Context.Sim.now() + ConfirmLimit,
+                            Context.Sim.now(), ticket);
   it.Waiting[ticket] = {request, std::move(answer), std::move(done)};
   perform(name, actions);
-  At.Net.timer(Self, ConfirmLimit, [this, name] { confirmTick(name); });
+  Context.Net.timer(Self, ConfirmLimit, [this, name] { confirmTick(name); });
 }
 
 void Owner::confirmTick(const TargetName &name) {
-  perform(name, failover::onConfirmTick(Confirms[name].State, At.Sim.now()));
+  perform(name, failover::onConfirmTick(Confirmations[name].State,
+                                        Context.Sim.now()));
 }
 
 void Owner::perform(const TargetName &name,
                     const failover::ConfirmActions &actions) {
   for (const auto &action : actions) {
     if (const auto *replicas = std::get_if<failover::AskReplicas>(&action))
-      ask(name, *replicas);
+      query(name, *replicas);
     else if (const auto *primary = std::get_if<failover::AskPrimary>(&action))
-      ask(name, *primary);
+      query(name, *primary);
     else
-      tell(name, std::get<failover::Confirmed>(action));
+      complete(name, std::get<failover::Confirmed>(action));
   }
 }
 
-failover::TargetReport Owner::weigh(failover::TargetReport it,
-                                    Position at) const {
-  if (!At.Guards.LastRecordTerm && it.Last.Index >= at.Index)
+failover::TargetReport Owner::applySafeguards(failover::TargetReport it,
+                                              Position at) const {
+  if (!Context.Guards.LastRecordTerm && it.Last.Index >= at.Index)
     it.Last.InTerm = at.InTerm;
   return it;
 }
 
-void Owner::ask(const TargetName &name, const failover::AskReplicas &it) {
+void Owner::query(const TargetName &name, const failover::AskReplicas &it) {
   for (auto *target : Targets) {
     if (target->name() == name)
       continue;
-    At.Net.call<failover::TargetReport>(
+    Context.Net.call<failover::TargetReport>(
         Self, target->node(), it.Wait + ConfirmGrace,
         [target, it](auto reply) {
           target->awaitPosition(it.At.InTerm, it.At, it.Wait, reply);
@@ -314,45 +319,45 @@
         [this, name, it](const Result<failover::TargetReport> &report) {
           std::optional<failover::TargetReport> known;
           if (report)
-            known = weigh(report.value(), it.At);
-          perform(name, failover::onReplica(Confirms[name].State, it.Round,
-                                            known, At.Sim.now()));
+            known = applySafeguards(report.value(), it.At);
+          perform(name, failover::onReplica(Confirmations[name].State, it.Round,
+                                            known, Context.Sim.now()));
         });
   }
 }
 
-void Owner::ask(const TargetName &name, const failover::AskPrimary &it) {
+void Owner::query(const TargetName &name, const failover::AskPrimary &it) {
   auto *primary = find(name);
   auto done = [this, name, it](const Result<failover::TargetReport> &report) {
     std::optional<failover::TargetReport> known;
     if (report)
       known = report.value();
-    perform(name, failover::onPrimary(Confirms[name].State, it.Round, known,
-                                      At.Sim.now()));
+    perform(name, failover::onPrimary(Confirmations[name].State, it.Round,
+                                      known, Context.Sim.now()));
   };
-  if (At.Guards.PrimaryAskedAgain) {
-    At.Net.call<failover::TargetReport>(
+  if (Context.Guards.PrimaryStatusChecked) {
+    Context.Net.call<failover::TargetReport>(
         Self, primary->node(), ConfirmLimit,
         [primary](auto reply) { reply(primary->report()); }, done);
     return;
   }
   failover::TargetReport claimed;
   claimed.IsPrimary = true;
-  for (const auto &round : Confirms[name].State.Rounds)
+  for (const auto &round : Confirmations[name].State.Rounds)
     if (round.Round == it.Round)
       claimed.CurrentTerm = round.At.InTerm;
   done(claimed);
 }
 
-void Owner::tell(const TargetName &name, const failover::Confirmed &it) {
-  auto &waiting = Confirms[name].Waiting;
+void Owner::complete(const TargetName &name, const failover::Confirmed &it) {
+  auto &waiting = Confirmations[name].Waiting;
   auto found = waiting.find(it.Ticket);
   if (found == waiting.end())
     return;
   auto item = std::move(found->second);
   waiting.erase(found);
   if (it.Safe) {
-    At.Reached.pass(Step::Confirmed);
+    Context.Hooks.reached(Step::Confirmed);
     item.Done(item.Answer);
   } else if (item.Request.Mode == Access::Write) {
     item.Done(unknownOutcome(item.Request, AnswerCode::NotConfirmed,
--- a/tests/proof/owner.h
+++ b/tests/proof/owner.h
@@ -1,6 +1,6 @@
 /// \file
-/// The driver of an owner daemon: queue, connections, transactions and
-/// confirmation, by the rules of src/daemon/owner.cpp, on the fakes.
+/// The owner side of a daemon on the fakes: queue, connections, transactions
+/// and confirmation, by the rules of src/daemon/owner.cpp.
 
 #ifndef PERIDOTFALL_PROOF_OWNER_H
 #define PERIDOTFALL_PROOF_OWNER_H
@@ -18,21 +18,22 @@
 
 using OnAnswer = std::function<void(StatementAnswer)>;
 
-/// What an owner says of a write that it holds back.
+/// Detail of the answer to a write that is held back for a handover.
 inline constexpr auto HandoverDetail = "hand-over";
 
 class Owner {
 public:
-  /// \param most connections to one target.
-  Owner(Setting setting, NodeId self, std::vector<FakeTarget *> targets,
-        unsigned most)
-      : At(setting), Self(self), Targets(std::move(targets)), Most(most) {}
+  /// \param maxConnections to one target.
+  Owner(RunContext context, NodeId self, std::vector<FakeTarget *> targets,
+        unsigned maxConnections)
+      : Context(context), Self(self), Targets(std::move(targets)),
+        MaxConnections(maxConnections) {}
 
-  /// Runs a request on the target it names; \p done runs once.
+  /// Runs a request on its target; \p done runs once.
   void execute(StatementRequest request, OnAnswer done);
-  /// Writes are answered "not run, try again" until then.
+  /// Answers writes "not run" with a retry time until then.
   void holdWrites(TimePoint until) { HeldUntil = until; }
-  /// The target's process died, and its connections were reset.
+  /// Called when the target's process ended and its connections were reset.
   void targetClosed(const TargetName &target);
   std::size_t inFlight() const { return Running + Open.size(); }
   void reset();
@@ -41,11 +42,11 @@
   struct Work {
     StatementRequest Request;
     OnAnswer Done;           ///< Empty once answered.
-    ConnectionId Connection; ///< Valid once bytes may have left.
+    ConnectionId Connection; ///< Valid once bytes may have been sent.
   };
   using WorkPtr = std::shared_ptr<Work>;
   struct Pool {
-    unsigned Held = 0; ///< Open or being opened.
+    unsigned Connections = 0; ///< Open or being opened.
     std::vector<ConnectionId> Idle;
     std::deque<WorkPtr> Queue;
     std::map<ConnectionId, WorkPtr> Waiting;
@@ -53,7 +54,7 @@
   struct Transaction {
     TargetName Target;
     ConnectionId Connection;
-    Term InTerm = 0; ///< In which it began.
+    Term InTerm = 0; ///< The term in which it began.
     bool Busy = false;
   };
   /// An answer that waits for its confirmation.
@@ -62,8 +63,8 @@
     StatementAnswer Answer;
     OnAnswer Done;
   };
-  /// Confirmation at one primary, by src/failover/confirmation.h.
-  struct Confirming {
+  /// State of the confirmations at one primary (src/failover/confirmation.h).
+  struct PrimaryConfirmations {
     failover::ConfirmState State;
     std::map<TicketHandle, Unconfirmed> Waiting;
   };
@@ -78,7 +79,8 @@
   void expire(const TargetName &name, const WorkPtr &work);
   void finish(const TargetName &name, const WorkPtr &work,
               StatementAnswer answer);
-  void giveBack(const TargetName &name, ConnectionId connection, bool usable);
+  void releaseConnection(const TargetName &name, ConnectionId connection,
+                         bool usable);
   bool endTransaction(const WorkPtr &work, const StatementAnswer &answer,
                       bool usable);
   void openTransaction(const TargetName &name, const WorkPtr &work,
@@ -87,19 +89,20 @@
   void confirm(const WorkPtr &work, StatementAnswer answer);
   void confirmTick(const TargetName &name);
   void perform(const TargetName &name, const failover::ConfirmActions &actions);
-  void ask(const TargetName &name, const failover::AskReplicas &it);
-  void ask(const TargetName &name, const failover::AskPrimary &it);
-  void tell(const TargetName &name, const failover::Confirmed &it);
-  /// A replica's report as it counts, with the safeguards that are on.
-  failover::TargetReport weigh(failover::TargetReport it, Position at) const;
+  void query(const TargetName &name, const failover::AskReplicas &it);
+  void query(const TargetName &name, const failover::AskPrimary &it);
+  void complete(const TargetName &name, const failover::Confirmed &it);
+  /// A replica's report, changed where a safeguard is disabled.
+  failover::TargetReport applySafeguards(failover::TargetReport it,
+                                         Position at) const;
 
-  Setting At;
+  RunContext Context;
   NodeId Self;
   std::vector<FakeTarget *> Targets;
-  unsigned Most;
+  unsigned MaxConnections;
   TimePoint HeldUntil{};
   std::map<TargetName, Pool> Pools;
-  std::map<TargetName, Confirming> Confirms;
+  std::map<TargetName, PrimaryConfirmations> Confirmations;
   std::map<std::string, Transaction> Open;
   std::uint64_t LastTransaction = 0;
   std::size_t Running = 0;
--- a/tests/proof/owner_test.cpp
+++ b/tests/proof/owner_test.cpp
@@ -14,19 +14,19 @@
 struct OwnerFixture {
   Simulation Sim{1};
   Network Net{Sim, milliseconds(1)};
-  History Past;
+  History RunHistory;
   Safeguards Guards;
-  Steps Reached;
-  Setting All{Sim, Net, Past, Guards, Reached};
+  StepHooks Hooks;
+  RunContext Context{Sim, Net, RunHistory, Guards, Hooks};
   NodeId Self = Net.add();
-  FakeTarget First{All, Net.add(), TargetName("t0"), 4};
-  FakeTarget Second{All, Net.add(), TargetName("t1"), 4};
-  Owner It{All, Self, {&First, &Second}, 2};
+  FakeTarget First{Context, Net.add(), TargetName("t0"), 4};
+  FakeTarget Second{Context, Net.add(), TargetName("t1"), 4};
+  Owner TestedOwner{Context, Self, {&First, &Second}, 2};
   std::optional<StatementAnswer> Answer;
 
   OwnerFixture() {
-    First.found(true, nullptr);
-    Second.found(false, &First);
+    First.initialize(true, nullptr);
+    Second.initialize(false, &First);
   }
 
   StatementAnswer run(Verb what, const std::string &transaction) {
@@ -38,13 +38,14 @@
     request.Budget = milliseconds(1'000);
     request.Params = paramsOf({{1}, {1}, {1}, "t1", 1});
     Answer.reset();
-    It.execute(request, [this](StatementAnswer it) { Answer = std::move(it); });
+    TestedOwner.execute(request,
+                        [this](StatementAnswer it) { Answer = std::move(it); });
     Sim.runFor(Settle);
     REQUIRE(Answer.has_value());
     return *Answer;
   }
-  /// The target is fenced, and leads again in the higher term.
-  void leadAgain() {
+  /// The target is fenced and becomes primary again in the higher term.
+  void promoteAgain() {
     CHECK(First.fence(2).Outcome == failover::StepOutcome::Done);
     CHECK(First.promote(2).Outcome == failover::StepOutcome::Done);
     CHECK(Second.follow(2, &First).Outcome == failover::StepOutcome::Done);
@@ -58,26 +59,27 @@
 
 } // namespace
 
-// A caller's transaction was open when its target was fenced, and the target
-// led again in a higher term. It had dropped the transaction, so the caller's
-// next statement ran and committed alone, and the commit was told "not run".
-TEST_CASE_FIXTURE(OwnerFixture, "owner, target leads again under an open "
+// Guards against a statement of a dropped transaction that commits alone. The
+// target was fenced under an open transaction, dropped it and became primary
+// again in a higher term: the next statement ran and committed alone, and the
+// commit was answered "not run".
+TEST_CASE_FIXTURE(OwnerFixture, "owner, target promoted again under an open "
                                 "transaction, runs no statement of it alone") {
   SUBCASE("without the term of the transaction") {
     Guards.TransactionTerm = false;
     auto opened = run(Verb::Begin, "");
-    leadAgain();
+    promoteAgain();
     auto it = run(Verb::Statement, opened.Transaction);
     CHECK((it.Effect == Outcome::Done));
     CHECK(anythingRan());
   }
   SUBCASE("with it") {
     auto opened = run(Verb::Begin, "");
-    leadAgain();
+    promoteAgain();
     auto it = run(Verb::Statement, opened.Transaction);
     CHECK((it.Effect == Outcome::NotRun));
     CHECK((it.Code == AnswerCode::Fenced));
     CHECK_FALSE(anythingRan());
-    CHECK(It.inFlight() == 0);
+    CHECK(TestedOwner.inFlight() == 0);
   }
 }
--- a/tests/proof/peers.cpp
+++ b/tests/proof/peers.cpp
@@ -10,7 +10,7 @@
 
 constexpr milliseconds PingInterval{200};
 constexpr milliseconds PingLimit{400};
-/// A daemon that answered nothing for so long is passed over.
+/// A daemon that has not answered for this long is not considered live.
 constexpr milliseconds LiveLimit{800};
 constexpr milliseconds ListInterval{1'000};
 constexpr milliseconds ConfigurationInterval{300};
@@ -33,8 +33,8 @@
 
 void Peers::start(std::vector<Peer> others, std::uint64_t incarnation) {
   Others = std::move(others);
-  It.Incarnation = incarnation;
-  It.Leaving = false;
+  OwnMember.Incarnation = incarnation;
+  OwnMember.Leaving = false;
   Answered.clear();
   Leaving.clear();
   Listed.clear();
@@ -43,8 +43,8 @@
   InForce = std::make_unique<ConfigurationInForce>();
   Unguarded = {};
   for (std::size_t n = 0; n < Others.size(); ++n) {
-    Listed.push_back(Others[n].It);
-    Answered[Others[n].It.Vm] = At.Sim.now();
+    Listed.push_back(Others[n].MemberInfo);
+    Answered[Others[n].MemberInfo.Vm] = Context.Sim.now();
     ping(n);
   }
   readList();
@@ -52,11 +52,11 @@
 }
 
 std::vector<Member> Peers::live() const {
-  std::vector<Member> out{It};
+  std::vector<Member> out{OwnMember};
   for (auto member : Listed) {
     auto answered = Answered.find(member.Vm);
-    if (member.Vm == It.Vm || answered == Answered.end() ||
-        At.Sim.now() - answered->second > LiveLimit)
+    if (member.Vm == OwnMember.Vm || answered == Answered.end() ||
+        Context.Sim.now() - answered->second > LiveLimit)
       continue;
     auto leaving = Leaving.find(member.Vm);
     member.Leaving =
@@ -74,52 +74,54 @@
 void Peers::offerConfiguration(const Configuration &it) {
   if (it.Revision == 0)
     return;
-  bool taken = false;
-  if (At.Guards.RevisionNeverFalls) {
-    taken = InForce->offer(it);
+  bool accepted = false;
+  if (Context.Guards.RevisionNeverFalls) {
+    accepted = InForce->offer(it);
   } else {
-    taken = Unguarded.Id != it.Id;
+    accepted = Unguarded.Id != it.Id;
     Unguarded = it;
   }
-  if (!taken)
+  if (!accepted)
     return;
-  At.Past.Revisions.push_back(
-      {this->It.Vm, this->It.Incarnation, it.Revision, it.Id});
-  auto holders =
-      std::count_if(At.Past.Revisions.begin(), At.Past.Revisions.end(),
-                    [&](const RevisionSeen &n) { return n.Id == it.Id; });
-  if (holders == 1)
-    At.Reached.pass(Step::ConfigurationPassedOn);
-  if (static_cast<std::size_t>(holders) == Others.size() / 2 + 1)
-    At.Reached.pass(Step::ConfigurationHalfInForce);
+  Context.RunHistory.Revisions.push_back(
+      {this->OwnMember.Vm, this->OwnMember.Incarnation, it.Revision, it.Id});
+  auto daemons = std::count_if(
+      Context.RunHistory.Revisions.begin(), Context.RunHistory.Revisions.end(),
+      [&](const RevisionSeen &n) { return n.Id == it.Id; });
+  if (daemons == 1)
+    Context.Hooks.reached(Step::ConfigurationPassedOn);
+  if (static_cast<std::size_t>(daemons) == Others.size() / 2 + 1)
+    Context.Hooks.reached(Step::ConfigurationHalfInForce);
 }
 
-News Peers::news() const {
+GossipMessage Peers::gossip() const {
   auto config = InForce->get();
   return {View,
-          !At.Guards.RevisionNeverFalls ? Unguarded
-          : config                      ? *config
-                                        : Configuration(),
-          It.Leaving, Observes};
+          !Context.Guards.RevisionNeverFalls ? Unguarded
+          : config                           ? *config
+                                             : Configuration(),
+          OwnMember.Leaving, Observes};
 }
 
 void Peers::ping(std::size_t peer) {
   const auto &it = Others[peer];
-  At.Net.call<News>(
-      Self, it.Node, PingLimit, [tell = it.Tell](auto reply) { reply(tell()); },
-      [this, vm = it.It.Vm](const Result<News> &news) {
-        if (!news)
+  Context.Net.call<GossipMessage>(
+      Self, it.Node, PingLimit,
+      [getGossip = it.GetGossip](auto reply) { reply(getGossip()); },
+      [this, vm = it.MemberInfo.Vm](const Result<GossipMessage> &gossip) {
+        if (!gossip)
           return;
-        Answered[vm] = At.Sim.now();
-        Leaving[vm] = news.value().Leaving;
-        // What a daemon has by hearsay may be old within the same term: a
-        // leaving target would be forgotten again.
-        if (news.value().Observes || news.value().View.InTerm > View.InTerm)
-          offerView(news.value().View);
-        offerConfiguration(news.value().InForce);
+        Answered[vm] = Context.Sim.now();
+        Leaving[vm] = gossip.value().Leaving;
+        // A view that a peer did not observe itself may be outdated within the
+        // same term and would remove a leaving target again.
+        if (gossip.value().Observes || gossip.value().View.InTerm > View.InTerm)
+          offerView(gossip.value().View);
+        offerConfiguration(gossip.value().InForce);
       });
-  At.Net.timer(Self, PingInterval + milliseconds(At.Sim.Rng.below(20)),
-               [this, peer] { ping(peer); });
+  Context.Net.timer(Self,
+                    PingInterval + milliseconds(Context.Sim.Rng.below(20)),
+                    [this, peer] { ping(peer); });
 }
 
 void Peers::readList() {
@@ -127,7 +129,7 @@
     if (it)
       Listed = it.value();
   });
-  At.Net.timer(Self, ListInterval, [this] { readList(); });
+  Context.Net.timer(Self, ListInterval, [this] { readList(); });
 }
 
 void Peers::readConfiguration() {
@@ -136,7 +138,8 @@
                  if (it)
                    offerConfiguration(parseRevision(it.value().Value));
                });
-  At.Net.timer(Self, ConfigurationInterval, [this] { readConfiguration(); });
+  Context.Net.timer(Self, ConfigurationInterval,
+                    [this] { readConfiguration(); });
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/peers.h
+++ b/tests/proof/peers.h
@@ -1,7 +1,7 @@
 /// \file
-/// What one daemon knows of the others and of the configuration: the
-/// platform's lagging list corrected by its own probes, views of the group
-/// and revisions compared with peers.
+/// A daemon's view of its peers and of the configuration: the platform's
+/// lagging list, corrected by its own pings, and the group views and
+/// configuration revisions exchanged with peers.
 
 #ifndef PERIDOTFALL_PROOF_PEERS_H
 #define PERIDOTFALL_PROOF_PEERS_H
@@ -17,47 +17,48 @@
 
 namespace peridotfall::proof {
 
-/// What daemons tell each other.
-struct News {
+/// Exchanged between daemons.
+struct GossipMessage {
   GroupView View;
   Configuration InForce;
   bool Leaving = false;
-  bool Observes = false; ///< It sees the targets itself.
+  bool Observes = false; ///< The sender probes the targets itself.
 
-  auto operator<=>(const News &) const = default;
+  auto operator<=>(const GossipMessage &) const = default;
 };
 
 class Peers {
 public:
   struct Peer {
-    Member It;
+    Member MemberInfo;
     NodeId Node;
-    std::function<News()> Tell; ///< Runs at the peer.
+    std::function<GossipMessage()> GetGossip; ///< Runs at the peer.
   };
 
-  Peers(Setting setting, NodeId self, Member member, FakePlatform &platform)
-      : At(setting), Self(self), It(std::move(member)), Platform(platform) {}
+  Peers(RunContext context, NodeId self, Member member, FakePlatform &platform)
+      : Context(context), Self(self), OwnMember(std::move(member)),
+        Platform(platform) {}
 
   void start(std::vector<Peer> others, std::uint64_t incarnation);
-  /// Those that are listed and answer, and this daemon.
+  /// This daemon, and those that are listed and answer.
   std::vector<Member> live() const;
   const GroupView &view() const { return View; }
-  /// Takes a view of a term that is not lower.
+  /// Replaces the view unless the new one is of a lower term.
   void offerView(const GroupView &it);
-  /// Whether this daemon sees the targets itself.
+  /// Whether this daemon probes the targets itself.
   void setObserves(bool observes) { Observes = observes; }
   void offerConfiguration(const Configuration &it);
-  News news() const;
-  void setLeaving() { It.Leaving = true; }
+  GossipMessage gossip() const;
+  void setLeaving() { OwnMember.Leaving = true; }
 
 private:
   void ping(std::size_t peer);
   void readList();
   void readConfiguration();
 
-  Setting At;
+  RunContext Context;
   NodeId Self;
-  Member It;
+  Member OwnMember;
   FakePlatform &Platform;
   std::vector<Peer> Others;
   std::map<VmName, TimePoint> Answered;
@@ -66,7 +67,7 @@
   GroupView View;
   bool Observes = false;
   std::unique_ptr<ConfigurationInForce> InForce;
-  Configuration Unguarded; ///< In place of it, without the safeguard.
+  Configuration Unguarded; ///< Used instead if the safeguard is disabled.
 };
 
 std::string writeRevision(const Configuration &it);
--- a/tests/proof/safeguards.h
+++ b/tests/proof/safeguards.h
@@ -1,6 +1,6 @@
 /// \file
-/// The safeguards, each with a switch, so that a test can show the promise
-/// broken without it.
+/// A switch for each safeguard, so that a test can show which guarantee is
+/// violated without it.
 
 #ifndef PERIDOTFALL_PROOF_SAFEGUARDS_H
 #define PERIDOTFALL_PROOF_SAFEGUARDS_H
@@ -8,26 +8,46 @@
 namespace peridotfall::proof {
 
 struct Safeguards {
-  bool Confirmation = true;       ///< A replica holds it before the answer.
-  bool PrimaryAskedAgain = true;  ///< After the replica, in the same round.
-  bool LastRecordTerm = true;     ///< Of the replica that confirms.
-  bool PositionsWithTerms = true; ///< Not by length alone.
-  bool StartOfTermRecord = true;  ///< Written by each promotion.
-  bool Fencing = true;            ///< Targets refuse lower terms.
-  bool IdempotencyCheck = true;   ///< At the primary, before it runs.
-  bool NoBlindRepeat = true;      ///< Without a key, never sent twice.
-  bool NotBefore = true;          ///< Replicas that are behind refuse.
-  bool ReplicaTerm = true;        ///< A replica's answer is of the term.
-  bool PrimaryOnly = true;        ///< After an unknown outcome.
-  bool ReadsConfirmed = true;     ///< Reads at the primary, too.
-  bool TruthfulNotRun = true;     ///< Never after bytes have left.
-  bool AnswerIdChecked = true;    ///< Against the request's.
-  bool ConnectionDropped = true;  ///< After an answer that did not come.
-  bool TransactionTerm = true;    ///< Sent with each of its statements.
-  bool RevisionNeverFalls = true; ///< At a daemon.
-  bool LostAnswerReadBack = true; ///< Of a change at the platform.
+  /// A write is answered once a replica has it.
+  bool Confirmation = true;
+  /// The primary's status is checked after the replica's, in the same round.
+  bool PrimaryStatusChecked = true;
+  /// The confirming replica's last record must be of the write's term.
+  bool LastRecordTerm = true;
+  /// Logs are compared by term and length, not by length alone.
+  bool PositionsWithTerms = true;
+  /// Each promotion writes a record of its term.
+  bool StartOfTermRecord = true;
+  /// Targets refuse lower terms.
+  bool Fencing = true;
+  /// The primary checks the key before it runs a statement.
+  bool IdempotencyCheck = true;
+  /// A write without a key is never sent again after an unknown outcome.
+  bool NoBlindRepeat = true;
+  /// Replicas that are behind the requested position refuse reads.
+  bool NotBefore = true;
+  /// A replica's answer must be of the current term.
+  bool ReplicaTerm = true;
+  /// After an unknown outcome, a session reads from the primary only.
+  bool PrimaryOnly = true;
+  /// Reads at the primary are confirmed too.
+  bool ReadsConfirmed = true;
+  /// "Not run" is never answered after bytes were sent.
+  bool TruthfulNotRun = true;
+  /// An answer's id must be the request's.
+  bool AnswerIdChecked = true;
+  /// A connection is dropped when an answer did not arrive.
+  bool ConnectionDropped = true;
+  /// The term of a transaction is sent with each of its statements.
+  bool TransactionTerm = true;
+  /// A daemon never installs an older configuration.
+  bool RevisionNeverFalls = true;
+  /// After a lost answer of the platform, the changed object is read back.
+  bool LostAnswerReadBack = true;
+  /// A leaving replica gets no new reads.
   bool LeavingTargetAvoided = true;
-  bool DrainWaits = true; ///< For requests under way.
+  /// A shutdown waits for the requests in flight.
+  bool DrainWaits = true;
 };
 
 } // namespace peridotfall::proof
--- a/tests/proof/safeguards_test.cpp
+++ b/tests/proof/safeguards_test.cpp
@@ -10,34 +10,40 @@
 
 constexpr std::chrono::seconds Span{6};
 
-/// One safeguard, what breaks without it, and a seed that shows it.
-struct Without {
+/// A disabled safeguard, the violation that follows, and a seed that shows it.
+struct DisabledSafeguard {
   const char *Name;
   bool Safeguards::*Switch;
-  Broken Expected;
+  ViolationKind Expected;
   std::uint64_t Seed;
 };
 
-constexpr Without Table[] = {
-    {"confirmation", &Safeguards::Confirmation, Broken::Lost, 10},
-    {"idempotency check", &Safeguards::IdempotencyCheck, Broken::Doubled, 1},
-    {"no blind repeat", &Safeguards::NoBlindRepeat, Broken::Doubled, 10},
-    {"not before", &Safeguards::NotBefore, Broken::OwnWriteUnseen, 5},
-    {"primary only", &Safeguards::PrimaryOnly, Broken::OwnWriteUnseen, 75},
-    {"truthful not run", &Safeguards::TruthfulNotRun, Broken::FalseNotRun, 1},
-    {"answer id", &Safeguards::AnswerIdChecked, Broken::OwnWriteUnseen, 13},
-    {"revision", &Safeguards::RevisionNeverFalls, Broken::RevisionFell, 1},
-    {"read back", &Safeguards::LostAnswerReadBack, Broken::FalseRefusal, 24},
-    {"drain waits", &Safeguards::DrainWaits, Broken::CutByShutdown, 20},
+constexpr DisabledSafeguard Table[] = {
+    {"confirmation", &Safeguards::Confirmation, ViolationKind::Lost, 10},
+    {"idempotency check", &Safeguards::IdempotencyCheck, ViolationKind::Doubled,
+     1},
+    {"no blind repeat", &Safeguards::NoBlindRepeat, ViolationKind::Doubled, 10},
+    {"not before", &Safeguards::NotBefore, ViolationKind::OwnWriteUnseen, 5},
+    {"primary only", &Safeguards::PrimaryOnly, ViolationKind::OwnWriteUnseen,
+     75},
+    {"truthful not run", &Safeguards::TruthfulNotRun,
+     ViolationKind::FalseNotRun, 1},
+    {"answer id", &Safeguards::AnswerIdChecked, ViolationKind::OwnWriteUnseen,
+     13},
+    {"revision", &Safeguards::RevisionNeverFalls, ViolationKind::RevisionFell,
+     1},
+    {"read back", &Safeguards::LostAnswerReadBack, ViolationKind::FalseRefusal,
+     24},
+    {"drain waits", &Safeguards::DrainWaits, ViolationKind::CutByShutdown, 20},
 };
 
-bool reports(const std::vector<Violation> &all, Broken what) {
+bool reports(const std::vector<Violation> &all, ViolationKind what) {
   return std::any_of(all.begin(), all.end(),
                      [&](const Violation &it) { return it.What == what; });
 }
 
-/// Lets a group run for a while, has a target leave, and goes on for twice the
-/// limit. \return what the checker finds.
+/// Runs a group for \p before, makes a target leave and runs on for twice the
+/// limit. \return the violations that the checker finds.
 std::vector<Violation> runLeaving(std::uint64_t seed, milliseconds before,
                                   void (World::*leave)(), bool avoided) {
   Safeguards guards;
@@ -49,14 +55,14 @@
   return checkHistory(world.finish());
 }
 
-/// The same for a settled group's primary, beside a fault that begins as it
-/// leaves and ends after a span.
-std::vector<Violation> runLeavingBeside(std::uint64_t seed, const Fault &fault,
-                                        milliseconds span) {
+/// The same for the primary of a group that has run for some time, with a fault
+/// that begins as the primary leaves and ends after \p span.
+std::vector<Violation>
+runLeavingWithFault(std::uint64_t seed, const Fault &fault, milliseconds span) {
   constexpr milliseconds Before{4'000};
   World world(seed, {});
   world.runFor(Before);
-  auto end = world.strike(fault);
+  auto end = world.inject(fault);
   world.leave();
   world.runFor(span);
   end();
@@ -66,9 +72,10 @@
 
 } // namespace
 
-// The same random run twice: with one safeguard taken out the caller sees the
-// promise broken, with all of them kept nothing is.
-TEST_CASE("safeguards, each taken out, break their promise, and kept do not") {
+// Guards against a safeguard that has no effect: the random run that violates a
+// guarantee with the safeguard disabled has no violation with it enabled.
+TEST_CASE(
+    "safeguards, each disabled, violate their guarantee, all enabled do not") {
   for (const auto &it : Table) {
     CAPTURE(it.Name);
     Safeguards without;
@@ -79,28 +86,30 @@
     CHECK(runSoak(seed, Span).Violations.empty());
 }
 
-// A replica leaves and goes on answering; callers read. Without the safeguard
-// it still gets reads after the limit.
+// Guards against reads sent to a leaving replica. It still answers, so without
+// the safeguard it gets reads after the limit.
 TEST_CASE("safeguards, leaving replica, gets no new work after the limit") {
   constexpr milliseconds Before{1'500};
   CHECK(reports(runLeaving(1, Before, &World::leaveReplica, false),
-                Broken::WorkAtLeaving));
+                ViolationKind::WorkAtLeaving));
   CHECK(runLeaving(1, Before, &World::leaveReplica, true).empty());
 }
 
-// The primary leaves in a settled group: writes are held for a moment, a
-// replica leads, and the old primary is then a replica to be avoided.
+// Guards against work at a leaving primary of a settled group after it was
+// replaced. Writes are held back while a replica takes over; the old primary is
+// then a leaving replica and gets reads unless it is avoided.
 TEST_CASE("safeguards, leaving primary, gets no new work after the limit") {
   constexpr milliseconds Before{8'000};
   CHECK(reports(runLeaving(1, Before, &World::leave, false),
-                Broken::WorkAtLeaving));
+                ViolationKind::WorkAtLeaving));
   CHECK(runLeaving(1, Before, &World::leave, true).empty());
 }
 
-// The primary of a group that has just begun leaves, and the daemon that owns
-// it ends at the same time. Callers see nothing. Daemons that do not know the
-// new owner send writes by others, past the hold, so the first try to replace
-// the primary fails; the next one must come within the limit.
+// Guards against a late second attempt to replace a leaving primary. The
+// primary of a new group leaves while its owner shuts down; callers see
+// neither. Daemons that do not know the new owner send writes through other
+// daemons, past the hold, so the first attempt fails; the next must come within
+// the limit.
 TEST_CASE("safeguards, leaving primary of a new group, gets no new work after "
           "the limit") {
   constexpr milliseconds Before{1'500};
@@ -108,8 +117,8 @@
     CHECK(runLeaving(seed, Before, &World::leave, true).empty());
 }
 
-// Guards against a primary that keeps its work since its group had agreed no
-// term when it left.
+// Guards against a leaving primary that still gets work because its group had
+// not agreed on a term when it left.
 TEST_CASE("safeguards, leaving primary of a group of any age, gets no new work "
           "after the limit") {
   for (int before : {250, 500, 800})
@@ -120,12 +129,12 @@
     CHECK(runLeaving(seed, milliseconds(950), &World::leave, true).empty());
 }
 
-// Guards against a primary that keeps its work since the replica first chosen
-// to replace it fails.
-TEST_CASE("safeguards, leaving primary beside a fault of a replica, gets no "
+// Guards against a leaving primary that still gets work because the replica
+// first chosen to replace it fails.
+TEST_CASE("safeguards, leaving primary during a replica fault, gets no "
           "new work after the limit") {
   using enum FaultKind;
-  using enum FaultPlace;
+  using enum FaultLocation;
   constexpr milliseconds Span{600};
   constexpr std::pair<Fault, std::uint64_t> Runs[] = {
       {{Kill, Replica}, 1},          {{Freeze, Replica}, 6},
@@ -133,17 +142,17 @@
       {{SlowLink, Replica}, 18},     {{LaggingReplica, Replica}, 13},
       {{CutOneWay, RegionLink}, 13}, {{AnswersLate, RegionLink}, 8}};
   for (const auto &[fault, seed] : Runs)
-    CHECK(runLeavingBeside(seed, fault, Span).empty());
+    CHECK(runLeavingWithFault(seed, fault, Span).empty());
 }
 
-// Guards against a primary that keeps its work since the first hold of writes
-// ended before any replica was level.
-TEST_CASE("safeguards, leaving primary beside a fault of its links, gets no "
+// Guards against a leaving primary that still gets work because the first hold
+// of writes ended before any replica had caught up.
+TEST_CASE("safeguards, leaving primary during a fault of its links, gets no "
           "new work after the limit") {
   using enum FaultKind;
-  using enum FaultPlace;
+  using enum FaultLocation;
   struct Run {
-    Fault Beside;
+    Fault During;
     milliseconds Span;
     std::uint64_t Seed;
   };
@@ -153,15 +162,15 @@
                           {{AnswersLost, Primary}, milliseconds(1'000), 10},
                           {{AnswersLate, Owner}, milliseconds(600), 3}};
   for (const auto &it : Runs)
-    CHECK(runLeavingBeside(it.Seed, it.Beside, it.Span).empty());
+    CHECK(runLeavingWithFault(it.Seed, it.During, it.Span).empty());
 }
 
-// Guards against a primary that keeps its work since its new owner cannot reach
-// the platform.
-TEST_CASE("safeguards, leaving primary beside a fault of the platform, gets no "
+// Guards against a leaving primary that still gets work because its new owner
+// cannot reach the platform.
+TEST_CASE("safeguards, leaving primary during a platform fault, gets no "
           "new work after the limit") {
   using enum FaultKind;
-  using enum FaultPlace;
+  using enum FaultLocation;
   constexpr milliseconds Span{1'000};
   constexpr std::pair<Fault, std::uint64_t> Runs[] = {
       {{CutOneWay, Platform}, 4},
@@ -169,5 +178,5 @@
       {{CutBothWays, Platform}, 6},
       {{PlatformDown, Platform}, 12}};
   for (const auto &[fault, seed] : Runs)
-    CHECK(runLeavingBeside(seed, fault, Span).empty());
+    CHECK(runLeavingWithFault(seed, fault, Span).empty());
 }
--- a/tests/proof/simulation.h
+++ b/tests/proof/simulation.h
@@ -1,6 +1,6 @@
 /// \file
-/// Virtual time for the proofs: an event queue and a seeded generator. The
-/// same seed gives the same run on every machine.
+/// Virtual time: an event queue and a seeded random number generator. The same
+/// seed gives the same run on every machine.
 
 #ifndef PERIDOTFALL_PROOF_SIMULATION_H
 #define PERIDOTFALL_PROOF_SIMULATION_H
@@ -17,8 +17,8 @@
 using Action = std::function<void()>;
 using std::chrono::milliseconds;
 
-/// SplitMix64. The standard distributions differ between libraries, so runs
-/// would not repeat elsewhere.
+/// SplitMix64. The standard distributions differ between library
+/// implementations, so a seed would not give the same run everywhere.
 class Random {
 public:
   explicit Random(std::uint64_t seed) : State(seed) {}
@@ -30,7 +30,7 @@
     n = (n ^ (n >> 27)) * 0x94d049bb133111ebULL;
     return n ^ (n >> 31);
   }
-  /// \return a number below \p n, which is not 0.
+  /// \param n must not be 0. \return a number below it.
   std::uint64_t below(std::uint64_t n) { return next() % n; }
   bool chance(unsigned permille) { return below(1'000) < permille; }
   milliseconds between(milliseconds low, milliseconds high) {
@@ -53,7 +53,7 @@
     Events.emplace(std::pair(now() + delay, ++LastEvent), std::move(action));
   }
 
-  /// Runs all events up to the time, and leaves the clock there.
+  /// Runs all events up to \p end, and sets the clock to it.
   void runUntil(TimePoint end) {
     while (!Events.empty() && Events.begin()->first.first <= end) {
       auto event = Events.extract(Events.begin());
@@ -69,7 +69,7 @@
 private:
   ManualClock Time;
   std::uint64_t LastEvent = 0;
-  /// The number parts events of one instant in the order they were made.
+  /// The sequence number orders events of the same time by their creation.
   std::map<std::pair<TimePoint, std::uint64_t>, Action> Events;
 };
 
--- a/tests/proof/soak.cpp
+++ b/tests/proof/soak.cpp
@@ -18,15 +18,15 @@
 constexpr unsigned ApplyPermille = 120;
 constexpr milliseconds Warmup{1'000};
 
-/// One more fault, and the next after a random gap; they overlap at times.
-struct Storm {
-  World &It;
+/// Injects random faults, which may overlap, and ends each when it is due.
+struct FaultInjector {
+  World &Cluster;
   std::size_t Faults = 0;
   std::vector<std::pair<TimePoint, Action>> Ends;
 
   void endDue() {
     for (std::size_t n = 0; n < Ends.size();) {
-      if (Ends[n].first > It.now()) {
+      if (Ends[n].first > Cluster.now()) {
         ++n;
         continue;
       }
@@ -36,19 +36,21 @@
     }
   }
 
-  void strike() {
+  void inject() {
     static const auto Possible = possibleFaults();
-    auto &random = It.random();
+    auto &random = Cluster.random();
     if (random.chance(ApplyPermille))
-      It.applyConfiguration();
+      Cluster.applyConfiguration();
     ++Faults;
     if (random.chance(LeavePermille)) {
-      It.leave();
-      Ends.emplace_back(It.now() + LongestFault, [this] { It.restartAll(); });
+      Cluster.leave();
+      Ends.emplace_back(Cluster.now() + LongestFault,
+                        [this] { Cluster.restartAll(); });
       return;
     }
-    auto end = It.strike(Possible[random.below(Possible.size())]);
-    Ends.emplace_back(It.now() + random.between(ShortestFault, LongestFault),
+    auto end = Cluster.inject(Possible[random.below(Possible.size())]);
+    Ends.emplace_back(Cluster.now() +
+                          random.between(ShortestFault, LongestFault),
                       std::move(end));
   }
 };
@@ -58,24 +60,24 @@
 SoakReport runSoak(std::uint64_t seed, std::chrono::seconds span,
                    const Safeguards &guards) {
   World world(seed, guards);
-  Storm storm{world, 0, {}};
+  FaultInjector injector{world, 0, {}};
   world.runFor(Warmup);
   auto end = world.now() + span;
   auto next = world.now();
   while (world.now() < end) {
     if (world.now() >= next) {
-      storm.strike();
+      injector.inject();
       next = world.now() + world.random().between(ShortestGap, LongestGap);
     }
     world.runFor(ShortestFault);
-    storm.endDue();
+    injector.endDue();
   }
-  const auto &past = world.finish();
+  const auto &history = world.finish();
   auto answered = std::count_if(
-      past.Requests.begin(), past.Requests.end(),
+      history.Requests.begin(), history.Requests.end(),
       [](const CallerRequest &it) { return it.Answer.has_value(); });
-  return {static_cast<std::size_t>(answered), storm.Faults, world.failovers(),
-          checkHistory(past)};
+  return {static_cast<std::size_t>(answered), injector.Faults,
+          world.failovers(), checkHistory(history)};
 }
 
 std::string summary(const SoakReport &it) {
--- a/tests/proof/soak.h
+++ b/tests/proof/soak.h
@@ -1,5 +1,5 @@
 /// \file
-/// Long random runs: many sessions, faults at random, and the checker.
+/// Long random runs: many sessions, random faults, and the checker.
 
 #ifndef PERIDOTFALL_PROOF_SOAK_H
 #define PERIDOTFALL_PROOF_SOAK_H
@@ -15,7 +15,7 @@
 namespace peridotfall::proof {
 
 struct SoakReport {
-  std::size_t Operations = 0; ///< Requests that had an answer.
+  std::size_t Operations = 0; ///< Requests that were answered.
   std::size_t Faults = 0;
   std::size_t Failovers = 0;
   std::vector<Violation> Violations;
@@ -23,7 +23,7 @@
   auto operator<=>(const SoakReport &) const = default;
 };
 
-/// \param span virtual time with faults; the calm end comes on top.
+/// \param span virtual time with faults; the time after them is added.
 SoakReport runSoak(std::uint64_t seed, std::chrono::seconds span,
                    const Safeguards &guards = {});
 
--- a/tests/proof/soak_test.cpp
+++ b/tests/proof/soak_test.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-// Callers order, pay and read while targets, daemons and links fail at random
-// and twice at once; every promise is checked from the callers' side. Only
-// the seed decides what happens, so a seed that fails here fails everywhere.
-TEST_CASE("soak, fixed seeds, break no promise") {
+// Guards against violations that callers can see while targets, daemons and
+// links fail at random, also two at once. Only the seed decides what happens,
+// so a seed that fails here fails on every machine.
+TEST_CASE("soak, fixed seeds, have no violation") {
   for (std::uint64_t seed : {1, 2, 3}) {
     CAPTURE(seed);
     auto it = runSoak(seed, Span);
--- a/tests/proof/steps.h
+++ b/tests/proof/steps.h
@@ -1,6 +1,6 @@
 /// \file
-/// The steps at which a fault can strike, told by the parts of a run as they
-/// pass them.
+/// The steps at which a fault can be injected. The components of a run report
+/// each step as they reach it.
 
 #ifndef PERIDOTFALL_PROOF_STEPS_H
 #define PERIDOTFALL_PROOF_STEPS_H
@@ -33,21 +33,21 @@
 
 std::string toString(Step it);
 
-class Steps {
+class StepHooks {
 public:
-  /// \param action runs once, when the step is next passed.
+  /// \param action runs once, when the step is next reached.
   void onNext(Step step, std::function<void()> action) {
-    Awaited = step;
+    HookedStep = step;
     Hook = std::move(action);
   }
-  void pass(Step step) {
-    if (Hook && step == Awaited)
+  void reached(Step step) {
+    if (Hook && step == HookedStep)
       std::exchange(Hook, nullptr)();
   }
   bool waiting() const { return Hook != nullptr; }
 
 private:
-  Step Awaited = Step::Queued;
+  Step HookedStep = Step::Queued;
   std::function<void()> Hook;
 };
 
--- a/tests/proof/world.cpp
+++ b/tests/proof/world.cpp
@@ -15,8 +15,9 @@
 constexpr milliseconds OneWay{1};
 constexpr milliseconds ShipLag{5};
 constexpr milliseconds ResetDelay{1};
-// The last third of a run's end is quiet: every request has its answer.
-constexpr milliseconds CalmSpan{8'000};
+// At the end of a run callers continue for HealedSpan without faults; then
+// QuietSpan without new requests lets every request get its answer.
+constexpr milliseconds HealedSpan{8'000};
 constexpr milliseconds QuietSpan{6'000};
 
 std::string regionOf(int domain) { return domain < 2 ? "near" : "far"; }
@@ -36,12 +37,12 @@
 World::World(std::uint64_t seed, const Safeguards &guards,
              const CallerOptions &callers)
     : Guards(guards), Sim(seed),
-      Net(Sim, OneWay), All{Sim, Net, Past, Guards, Reached} {
+      Net(Sim, OneWay), Context{Sim, Net, RunHistory, Guards, Hooks} {
   makeNodes();
   makeDaemons(callers);
   for (auto &it : Targets) {
     it->ShipLag = ShipLag;
-    it->found(it == Targets.front(), Targets.front().get());
+    it->initialize(it == Targets.front(), Targets.front().get());
   }
   publishMembers();
   for (auto &it : Daemons)
@@ -52,37 +53,40 @@
 
 void World::makeNodes() {
   CallerNode = Net.add();
-  Platform = std::make_unique<FakePlatform>(All, Net.add());
+  Platform = std::make_unique<FakePlatform>(Context, Net.add());
   for (int n = 0; n < Domains; ++n)
     Targets.push_back(std::make_unique<FakeTarget>(
-        All, Net.add(), TargetName(fmt::format("t{}", n)), TargetConnections));
-  Admin = std::make_unique<Operators>(All, CallerNode, *Platform);
+        Context, Net.add(), TargetName(fmt::format("t{}", n)),
+        TargetConnections));
+  Admin = std::make_unique<Operators>(Context, CallerNode, *Platform);
 }
 
 void World::makeDaemons(const CallerOptions &callers) {
-  Daemon::Surroundings around;
+  Daemon::Dependencies dependencies;
   for (int n = 0; n < Domains; ++n) {
     auto &target = Targets[static_cast<std::size_t>(n)];
-    around.Targets.push_back(target.get());
-    around.Places.push_back({target->name(), DomainName(fmt::format("d{}", n)),
-                             RegionName(regionOf(n))});
+    dependencies.Targets.push_back(target.get());
+    dependencies.Localities.push_back({target->name(),
+                                       DomainName(fmt::format("d{}", n)),
+                                       RegionName(regionOf(n))});
   }
-  around.Platform = Platform.get();
-  around.Connections = OwnerConnections;
-  around.Find = [this](const VmName &vm) { return find(vm); };
-  around.Others = [this](const VmName &self) {
+  dependencies.Platform = Platform.get();
+  dependencies.Connections = OwnerConnections;
+  dependencies.Find = [this](const VmName &vm) { return find(vm); };
+  dependencies.Others = [this](const VmName &self) {
     std::vector<Peers::Peer> out;
     for (auto &it : Daemons)
       if (it->member().Vm != self)
-        out.push_back({it->member(), it->node(),
-                       [peer = it.get()] { return peer->Known.news(); }});
+        out.push_back({it->member(), it->node(), [peer = it.get()] {
+                         return peer->KnownPeers.gossip();
+                       }});
     return out;
   };
   for (int domain = 0; domain < Domains; ++domain)
     for (int n = 0; n < DaemonsPerDomain; ++n)
-      Daemons.push_back(std::make_unique<Daemon>(All, Net.add(),
-                                                 memberOf(domain, n), around));
-  Traffic = std::make_unique<Callers>(All, CallerNode, callers,
+      Daemons.push_back(std::make_unique<Daemon>(
+          Context, Net.add(), memberOf(domain, n), dependencies));
+  Traffic = std::make_unique<Callers>(Context, CallerNode, callers,
                                       [this] { return pick(); });
 }
 
@@ -135,14 +139,16 @@
   return Daemons.front().get();
 }
 
-std::size_t World::failovers() const { return Past.Promotions.size() - 1; }
+std::size_t World::failovers() const {
+  return RunHistory.Promotions.size() - 1;
+}
 
 void World::killTarget(FakeTarget &it) {
   Net.kill(it.node());
   for (auto &daemon : Daemons)
     if (!Net.link(it.node(), daemon->node()).Cut)
       Net.timer(daemon->node(), ResetDelay, [&daemon, name = it.name()] {
-        daemon->Targets.targetClosed(name);
+        daemon->TargetOwner.targetClosed(name);
       });
 }
 
@@ -177,7 +183,7 @@
     startNode(it->node());
   }
   for (auto &it : Daemons) {
-    // One that still drains ends first; its successor starts afresh.
+    // A daemon that is still draining is ended first, then started anew.
     if (it->draining())
       Net.kill(it->node());
     startNode(it->node());
@@ -202,17 +208,18 @@
   Platform->Fault = PlatformFault::None;
   Platform->setListLag(false);
   restartAll();
-  Past.CalmSince = Sim.now();
-  runFor(CalmSpan);
+  RunHistory.HealedAt = Sim.now();
+  runFor(HealedSpan);
   Traffic->stop();
   runFor(QuietSpan);
-  Past.Surviving = primary()->log();
+  RunHistory.Surviving = primary()->log();
   for (auto &it : Daemons) {
-    auto news = it->Known.news();
-    Past.RevisionsAtEnd.push_back({it->member().Vm, it->incarnation(),
-                                   news.InForce.Revision, news.InForce.Id});
+    auto gossip = it->KnownPeers.gossip();
+    RunHistory.RevisionsAtEnd.push_back({it->member().Vm, it->incarnation(),
+                                         gossip.InForce.Revision,
+                                         gossip.InForce.Id});
   }
-  return Past;
+  return RunHistory;
 }
 
 } // namespace peridotfall::proof
--- a/tests/proof/world.h
+++ b/tests/proof/world.h
@@ -22,24 +22,24 @@
         const CallerOptions &callers = {});
 
   void runFor(Duration span) { Sim.runFor(span); }
-  /// Runs the action as the next event of this moment.
-  void soon(Action action) { Sim.after(Duration(0), std::move(action)); }
+  /// Runs the action as an event at the current time.
+  void schedule(Action action) { Sim.after(Duration(0), std::move(action)); }
   TimePoint now() const { return Sim.now(); }
   Random &random() { return Sim.Rng; }
-  Steps &steps() { return Reached; }
+  StepHooks &steps() { return Hooks; }
 
-  /// Brings the fault about. \return what ends it.
-  Action strike(const Fault &it);
+  /// Injects the fault. \return the action that ends it.
+  Action inject(const Fault &it);
   void killPrimary();
   void applyConfiguration() { Admin->apply(); }
-  /// The primary leaves, and one entry daemon ends in order.
+  /// Marks the primary as leaving, and shuts one daemon down gracefully.
   void leave();
   void leaveReplica() { replica()->setLeaving(true); }
   void restartAll();
 
-  /// Heals all, lets callers go on for a while, then ends the run.
+  /// Ends all faults, lets callers continue for a while, then ends the run.
   const History &finish();
-  const History &history() const { return Past; }
+  const History &history() const { return RunHistory; }
   std::size_t failovers() const;
   FakeTarget *primary();
 
@@ -50,23 +50,23 @@
   Daemon *pick();
   Daemon *ownerOf(const TargetName &target);
   FakeTarget *replica();
-  NodeId nodeAt(FaultPlace place);
+  NodeId nodeAt(FaultLocation location);
   void killTarget(FakeTarget &it);
   void killNode(NodeId node);
   void startNode(NodeId node);
-  /// All directions that the fault touches, first those out of the place.
-  std::vector<std::pair<NodeId, NodeId>> linksAt(FaultPlace place, bool out,
-                                                 bool in);
-  Action strikeLinks(const Fault &it);
-  Action pauseHolder();
+  /// \return the directed links from the location (\p out) and to it (\p in).
+  std::vector<std::pair<NodeId, NodeId>> linksAt(FaultLocation location,
+                                                 bool out, bool in);
+  Action injectLinkFault(const Fault &it);
+  Action pauseLeader();
   void publishMembers();
 
   Safeguards Guards;
   Simulation Sim;
   Network Net;
-  History Past;
-  Steps Reached;
-  Setting All;
+  History RunHistory;
+  StepHooks Hooks;
+  RunContext Context;
   NodeId CallerNode;
   std::unique_ptr<FakePlatform> Platform;
   std::vector<std::unique_ptr<FakeTarget>> Targets;
--- a/tests/proof/world_faults.cpp
+++ b/tests/proof/world_faults.cpp
@@ -1,4 +1,4 @@
-// How each fault is brought about, and ended.
+// Injects and ends each fault.
 
 #include "proof/world.h"
 
@@ -11,40 +11,40 @@
 constexpr milliseconds SlowExtra{120};
 constexpr milliseconds LateExtra{700};
 constexpr milliseconds LongLag{1'500};
-constexpr unsigned LosePermille = 500;
-constexpr unsigned DoublePermille = 500;
+constexpr unsigned LossPermille = 500;
+constexpr unsigned DuplicatePermille = 500;
 
 } // namespace
 
-NodeId World::nodeAt(FaultPlace place) {
-  switch (place) {
-  case FaultPlace::Owner:
+NodeId World::nodeAt(FaultLocation location) {
+  switch (location) {
+  case FaultLocation::Owner:
     return ownerOf(primary()->name())->node();
-  case FaultPlace::Primary:
+  case FaultLocation::Primary:
     return primary()->node();
-  case FaultPlace::Replica:
+  case FaultLocation::Replica:
     return replica()->node();
-  case FaultPlace::Platform:
+  case FaultLocation::Platform:
     return Platform->node();
   default:
     return pick()->node();
   }
 }
 
-std::vector<std::pair<NodeId, NodeId>> World::linksAt(FaultPlace place,
+std::vector<std::pair<NodeId, NodeId>> World::linksAt(FaultLocation location,
                                                       bool out, bool in) {
   std::vector<NodeId> inner;
   std::vector<NodeId> outer;
-  if (place == FaultPlace::RegionLink) {
+  if (location == FaultLocation::RegionLink) {
     // The far region: the last target and the last two daemons.
     inner = {Targets.back()->node(), Daemons.back()->node(),
              Daemons[Daemons.size() - 2]->node()};
   } else {
-    inner = {nodeAt(place)};
+    inner = {nodeAt(location)};
   }
   std::vector<NodeId> all{Platform->node()};
-  // Callers stay on their side of a link between regions.
-  if (place != FaultPlace::RegionLink)
+  // A link between regions doesn't affect the callers' links.
+  if (location != FaultLocation::RegionLink)
     all.push_back(CallerNode);
   for (auto &it : Targets)
     all.push_back(it->node());
@@ -63,44 +63,45 @@
   return links;
 }
 
-Action World::strikeLinks(const Fault &it) {
+Action World::injectLinkFault(const Fault &it) {
   bool out = true;
   bool in = it.Kind == FaultKind::CutBothWays || it.Kind == FaultKind::SlowLink;
-  // Half of the one-way cuts let it speak and not hear.
+  // Half of the one-way cuts drop incoming messages in place of outgoing ones.
   if (it.Kind == FaultKind::CutOneWay && Sim.Rng.chance(500))
     std::swap(out, in);
-  Link spoilt;
+  Link faulty;
   switch (it.Kind) {
   case FaultKind::SlowLink:
-    spoilt.Extra = SlowExtra;
+    faulty.ExtraDelay = SlowExtra;
     break;
   case FaultKind::AnswersLate:
-    spoilt.Extra = LateExtra;
+    faulty.ExtraDelay = LateExtra;
     break;
   case FaultKind::AnswersLost:
-    spoilt.LosePermille = LosePermille;
+    faulty.LossPermille = LossPermille;
     break;
   case FaultKind::AnswersDoubled:
-    spoilt.DoublePermille = DoublePermille;
+    faulty.DuplicatePermille = DuplicatePermille;
     break;
   case FaultKind::AnswersCrossed:
-    spoilt.Crossed = true;
+    faulty.Crossed = true;
     break;
   default:
-    spoilt.Cut = true;
+    faulty.Cut = true;
   }
-  auto links = linksAt(it.Place, out, in);
+  auto links = linksAt(it.Location, out, in);
   for (auto [from, to] : links)
-    Net.link(from, to) = spoilt;
+    Net.link(from, to) = faulty;
   return [this, links] {
     for (auto [from, to] : links)
       Net.link(from, to) = {};
   };
 }
 
-/// The daemon that changes the primary right now, or else its owner.
-Action World::pauseHolder() {
-  auto node = nodeAt(FaultPlace::Owner);
+/// Pauses the daemon that runs a change of primary, or else the primary's
+/// owner.
+Action World::pauseLeader() {
+  auto node = nodeAt(FaultLocation::Owner);
   for (auto &it : Daemons)
     if (it->Failover.leads())
       node = it->node();
@@ -108,19 +109,19 @@
   return [this, node] { Net.resume(node); };
 }
 
-Action World::strike(const Fault &it) {
+Action World::inject(const Fault &it) {
   auto platform = [this](PlatformFault fault) -> Action {
     Platform->Fault = fault;
     return [this] { Platform->Fault = PlatformFault::None; };
   };
   switch (it.Kind) {
   case FaultKind::Kill: {
-    auto node = nodeAt(it.Place);
+    auto node = nodeAt(it.Location);
     killNode(node);
     return [this, node] { startNode(node); };
   }
   case FaultKind::Freeze: {
-    auto node = nodeAt(it.Place);
+    auto node = nodeAt(it.Location);
     Net.pause(node);
     return [this, node] { Net.resume(node); };
   }
@@ -137,9 +138,9 @@
     return [target, lag] { target->ShipLag = lag; };
   }
   case FaultKind::LaggingList: {
-    // The list shows its age only when somebody has gone.
+    // A lagging list makes a difference only after a member has gone.
     Platform->setListLag(true);
-    auto node = nodeAt(FaultPlace::Owner);
+    auto node = nodeAt(FaultLocation::Owner);
     killNode(node);
     return [this, node] {
       startNode(node);
@@ -150,10 +151,10 @@
     applyConfiguration();
     applyConfiguration();
     return [] {};
-  case FaultKind::HolderPaused:
-    return pauseHolder();
+  case FaultKind::LeaderPaused:
+    return pauseLeader();
   default:
-    return strikeLinks(it);
+    return injectLinkFault(it);
   }
 }
 
