--- a/src/tool/commands.h
+++ b/src/tool/commands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands of the tool. Each takes its words and returns the exit code.
+/// Commands of the tool. Each takes its arguments and returns the exit code.
 
 #ifndef PERIDOTFALL_TOOL_COMMANDS_H
 #define PERIDOTFALL_TOOL_COMMANDS_H
@@ -18,28 +18,28 @@
 /// Exit codes, the same for all commands.
 enum ExitCode : int {
   Success = 0,
-  Failed = 1,      ///< The other side said no, or the statement failed.
-  BadUsage = 2,    ///< The command's words or files are wrong.
-  Conflict = 3,    ///< Another operator was first.
-  Unreachable = 4, ///< Nothing was done: no connection.
-  Unknown = 5,     ///< The outcome is not known.
+  Failed = 1,      ///< The request was rejected, or the statement failed.
+  BadUsage = 2,    ///< Wrong arguments, or an unreadable or invalid file.
+  Conflict = 3,    ///< Another operator changed the configuration first.
+  Unreachable = 4, ///< No connection; nothing was changed.
+  Unknown = 5,     ///< The outcome is unknown.
 };
 
 struct ToolOptions {
   std::string Platform; ///< Address of the object API.
-  std::string Daemon;   ///< Address of an entry daemon, for callers.
+  std::string Daemon;   ///< Address of an entry daemon, for `sql`.
   std::string Inner;    ///< Inner address of a daemon, for `status`.
-  bool Json = false;    ///< `status` as JSON.
-  std::string Operator; ///< Who applies a configuration.
-  std::string Kind;     ///< Kind of request of `sql`.
-  std::string Session;  ///< Session token, or file to keep it in.
+  bool Json = false;    ///< Prints `status` as JSON.
+  std::string Operator; ///< Recorded as the author of a configuration.
+  std::string Kind;     ///< Request kind of `sql`.
+  std::string Session;  ///< File that stores the session token.
   std::string Key;      ///< Idempotency key.
   std::chrono::milliseconds Deadline{5'000};
 };
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
-/// The platform as the tool uses it, with a loop of its own.
+/// Client of the platform's object API that runs its own event loop.
 class PlatformClient {
 public:
   explicit PlatformClient(const std::string &address);
@@ -51,19 +51,19 @@
   platform::Api Api;
 };
 
-/// Says on standard error what went wrong. \return the exit code for it.
-int report(const Error &error);
+/// Prints \p error on standard error. \return the matching exit code.
+int reportError(const Error &error);
 
-/// questionnaire check|generate|apply FILE, questionnaire show
-int runQuestionnaire(const ToolOptions &options, const Words &words);
-/// sql DATABASE STATEMENT [PARAMETER...]
-int runSql(const ToolOptions &options, const Words &words);
-/// status
-int runStatus(const ToolOptions &options, const Words &words);
-/// drain VM, undrain VM
-int runDrain(const ToolOptions &options, const Words &words, bool drained);
+/// questionnaire check|generate|apply FILE, questionnaire show.
+int runQuestionnaire(const ToolOptions &options, const Arguments &args);
+/// sql DATABASE STATEMENT [PARAMETER...].
+int runSql(const ToolOptions &options, const Arguments &args);
+/// status.
+int runStatus(const ToolOptions &options, const Arguments &args);
+/// drain VM, undrain VM.
+int runDrain(const ToolOptions &options, const Arguments &args, bool drained);
 /// explain PFnnnn, or explain REQUEST FILE...
-int runExplain(const Words &words);
+int runExplain(const Arguments &args);
 
 } // namespace peridotfall::tool
 
--- a/src/tool/drain.cpp
+++ b/src/tool/drain.cpp
@@ -19,7 +19,7 @@
       Loops.at(0), Time, guard, std::make_shared<platform::CallCounts>());
 }
 
-int report(const Error &error) {
+int reportError(const Error &error) {
   std::cerr << "not done: " << error.Message << "\n";
   switch (error.Code) {
   case ErrorCode::Conflict:
@@ -33,24 +33,25 @@
   }
 }
 
-int runDrain(const ToolOptions &options, const Words &words, bool drained) {
-  if (words.size() != 1) {
+int runDrain(const ToolOptions &options, const Arguments &args, bool drained) {
+  if (args.size() != 1) {
     std::cerr << "usage: peridotfall drain|undrain VM\n";
     return BadUsage;
   }
-  VmName vm(words[0]);
+  VmName vm(args[0]);
   PlatformClient client(options.Platform);
   auto current = fetchConfiguration(client.api());
   if (!current)
-    return report(current.error());
+    return reportError(current.error());
   if (!current.value())
-    return report({ErrorCode::NotFound, "no configuration has been applied"});
+    return reportError(
+        {ErrorCode::NotFound, "no configuration has been applied"});
   if (isDrained(*current.value(), vm) == drained) {
     std::cout << fmt::format("{} is {} already\n", vm.Value,
                              drained ? "drained" : "in use");
     return Success;
   }
-  auto accepted = acceptNext(
+  auto accepted = updateConfiguration(
       client.api(),
       [&](const Configuration *it) {
         auto next = it ? *it : Configuration();
@@ -62,7 +63,7 @@
       },
       options.Operator);
   if (!accepted)
-    return report(accepted.error());
+    return reportError(accepted.error());
   std::cout << fmt::format("accepted revision {} id {}: {} {}\n",
                            accepted.value().Revision, accepted.value().Id,
                            vm.Value, drained ? "drained" : "in use");
--- a/src/tool/explain.cpp
+++ b/src/tool/explain.cpp
@@ -1,6 +1,6 @@
 #include "telemetry/events.h"
 #include "tool/commands.h"
-#include "tool/story.h"
+#include "tool/request_timeline.h"
 
 #include <filesystem>
 #include <fstream>
@@ -13,7 +13,7 @@
 int explainEvent(const std::string &name) {
   auto it = telemetry::findEvent(name);
   if (!it) {
-    std::cerr << "no such event: " << name << "\n";
+    std::cerr << "unknown event: " << name << "\n";
     return BadUsage;
   }
   std::cout << "PF" << it->Number << " " << it->Name << "\n"
@@ -23,12 +23,12 @@
   return Success;
 }
 
-int explainRequest(const std::string &request, const Words &files) {
+int explainRequest(const std::string &request, const Arguments &files) {
   std::vector<LogLine> lines;
   for (const auto &path : files) {
     std::ifstream in(path);
     if (!in) {
-      std::cerr << "cannot be read: " << path << "\n";
+      std::cerr << "cannot read " << path << "\n";
       return BadUsage;
     }
     auto source = std::filesystem::path(path).stem().string();
@@ -36,25 +36,25 @@
       if (auto it = parseLogLine(text, source))
         lines.push_back(std::move(*it));
   }
-  auto story = storyOf(request, std::move(lines));
-  for (const auto &it : story)
+  auto timeline = requestTimeline(request, std::move(lines));
+  for (const auto &it : timeline)
     std::cout << describe(it) << "\n";
-  if (story.empty())
-    std::cerr << "no line names request " << request
-              << "; calm successes are logged one in 64\n";
-  return story.empty() ? Failed : Success;
+  if (timeline.empty())
+    std::cerr << "no log line has request " << request
+              << "; only one in 64 successful requests is logged\n";
+  return timeline.empty() ? Failed : Success;
 }
 
 } // namespace
 
-int runExplain(const Words &words) {
-  if (words.empty()) {
+int runExplain(const Arguments &args) {
+  if (args.empty()) {
     std::cerr << "usage: peridotfall explain PFnnnn | REQUEST FILE...\n";
     return BadUsage;
   }
-  if (words.size() == 1)
-    return explainEvent(words[0]);
-  return explainRequest(words[0], {words.begin() + 1, words.end()});
+  if (args.size() == 1)
+    return explainEvent(args[0]);
+  return explainRequest(args[0], {args.begin() + 1, args.end()});
 }
 
 } // namespace peridotfall::tool
--- a/src/tool/questionnaire.cpp
+++ b/src/tool/questionnaire.cpp
@@ -24,7 +24,7 @@
 int show(const platform::Api &api) {
   auto config = fetchConfiguration(api);
   if (!config)
-    return report(config.error());
+    return reportError(config.error());
   if (!config.value()) {
     std::cerr << "no configuration has been applied\n";
     return Failed;
@@ -36,7 +36,7 @@
     std::cerr << "drained: " << vm.Value << "\n";
   auto answers = fetchAnswers(api);
   if (!answers)
-    return report(answers.error());
+    return reportError(answers.error());
   std::cerr << fmt::format("answers of revision {} by {}\n",
                            answers.value().Revision, answers.value().AppliedBy);
   std::cout << answers.value().Text;
@@ -45,58 +45,58 @@
 
 int apply(const platform::Api &api, const Configuration &config,
           const std::string &answers, const std::string &operatorName) {
-  auto accepted = acceptNext(
+  auto accepted = updateConfiguration(
       api,
       [&](const Configuration *current) {
         auto next = config;
-        // What is drained stays so until it is undrained.
+        // Drained VMs stay drained until an operator undrains them.
         if (current)
           next.Drained = current->Drained;
         return next;
       },
       operatorName);
   if (!accepted)
-    return report(accepted.error());
+    return reportError(accepted.error());
   const auto &it = accepted.value();
   std::cout << fmt::format("accepted revision {} id {}\n", it.Revision, it.Id);
   auto stored = storeAnswers(api, {it.Revision, it.Id, operatorName, answers});
   if (stored)
     return Success;
-  std::cerr << "the configuration is accepted, its answers are not stored; "
-               "apply again: "
+  std::cerr << "the configuration is accepted, but its answers were not "
+               "stored; apply again: "
             << stored.error().Message << "\n";
   return Unknown;
 }
 
 } // namespace
 
-int runQuestionnaire(const ToolOptions &options, const Words &words) {
-  if (words == Words{"show"})
+int runQuestionnaire(const ToolOptions &options, const Arguments &args) {
+  if (args == Arguments{"show"})
     return show(PlatformClient(options.Platform).api());
   bool known =
-      words.size() == 2 &&
-      (words[0] == "check" || words[0] == "generate" || words[0] == "apply");
+      args.size() == 2 &&
+      (args[0] == "check" || args[0] == "generate" || args[0] == "apply");
   if (!known) {
     std::cerr << "usage: peridotfall questionnaire check|generate|apply FILE\n"
                  "       peridotfall questionnaire show\n";
     return BadUsage;
   }
-  auto text = readFile(words[1]);
+  auto text = readFile(args[1]);
   if (!text) {
-    std::cerr << "cannot read " << words[1] << "\n";
+    std::cerr << "cannot read " << args[1] << "\n";
     return BadUsage;
   }
   auto config = generateConfiguration(*text);
   if (!config) {
     for (const auto &it : config.error())
-      std::cerr << describe(it, words[1]) << "\n";
+      std::cerr << describe(it, args[1]) << "\n";
     return BadUsage;
   }
-  if (words[0] == "check") {
+  if (args[0] == "check") {
     std::cout << "no findings\n";
     return Success;
   }
-  if (words[0] == "generate") {
+  if (args[0] == "generate") {
     std::cout << writeConfiguration(config.value()) << "\n";
     return Success;
   }
--- a/src/tool/story.cpp
+++ b/src/tool/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "tool/story.h"
+#include "tool/request_timeline.h"
 
 #include "telemetry/events.h"
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Events about targets and changes of primary.
+/// Range of the numbers of events about targets and failovers.
 constexpr int FirstTargetEvent = 4'000;
 constexpr int LastTargetEvent = 4'999;
 
-std::string unquoted(const std::string &text, std::size_t &at) {
+std::string parseQuoted(const std::string &text, std::size_t &at) {
   std::string out;
   for (++at; at < text.size() && text[at] != '"'; ++at) {
     if (text[at] == '\\' && at + 1 < text.size())
@@ -26,22 +26,23 @@
   return out;
 }
 
-std::string valueAt(const std::string &text, std::size_t &at) {
+std::string parseValue(const std::string &text, std::size_t &at) {
   if (at < text.size() && text[at] == '"')
-    return unquoted(text, at);
+    return parseQuoted(text, at);
   auto end = std::min(text.find(' ', at), text.size());
   auto out = text.substr(at, end - at);
   at = end;
   return out;
 }
 
-std::string fieldOf(const LogLine &it, const char *name) {
+std::string findField(const LogLine &it, const char *name) {
   auto found = it.Fields.find(name);
   return found == it.Fields.end() ? std::string() : found->second;
 }
 
-/// Milliseconds of the day, from a time like 2026-09-24T06:07:56.833Z.
-std::optional<std::int64_t> millisOf(const std::string &time) {
+/// Parses a time like 2026-09-24T06:07:56.833Z. \return milliseconds since
+/// midnight.
+std::optional<std::int64_t> millisOfDay(const std::string &time) {
   constexpr std::size_t Hour = 11;
   constexpr std::size_t Minute = 14;
   constexpr std::size_t Second = 17;
@@ -66,7 +67,7 @@
   return ((*h * 60 + *m) * 60 + *s) * 1'000 + *ms;
 }
 
-bool isAboutTargets(const LogLine &it) {
+bool isTargetEvent(const LogLine &it) {
   auto event = telemetry::findEvent(it.Event);
   return event && event->Number >= FirstTargetEvent &&
          event->Number <= LastTargetEvent;
@@ -87,42 +88,42 @@
     auto from = blank == std::string::npos || blank < at ? at : blank + 1;
     auto name = line.substr(from, equals - from);
     at = equals + 1;
-    out.Fields[name] = valueAt(line, at);
+    out.Fields[name] = parseValue(line, at);
     at = std::min(line.find_first_not_of(' ', at), line.size());
   }
-  out.Time = fieldOf(out, "time");
-  out.Event = fieldOf(out, "event");
+  out.Time = findField(out, "time");
+  out.Event = findField(out, "event");
   if (out.Time.empty() || out.Event.empty())
     return std::nullopt;
   return out;
 }
 
-std::vector<LogLine> storyOf(const std::string &request,
-                             std::vector<LogLine> lines) {
-  std::set<std::string> names;
+std::vector<LogLine> requestTimeline(const std::string &request,
+                                     std::vector<LogLine> lines) {
+  std::set<std::string> targetsAndGroups;
   std::optional<std::int64_t> first;
   std::optional<std::int64_t> last;
   for (const auto &it : lines) {
-    if (fieldOf(it, "request") != request)
+    if (findField(it, "request") != request)
       continue;
     for (const char *name : {"target", "last_target", "group"})
-      if (auto value = fieldOf(it, name); !value.empty())
-        names.insert(value);
-    if (auto at = millisOf(it.Time)) {
+      if (auto value = findField(it, name); !value.empty())
+        targetsAndGroups.insert(value);
+    if (auto at = millisOfDay(it.Time)) {
       first = std::min(first.value_or(*at), *at);
       last = std::max(last.value_or(*at), *at);
     }
   }
   std::erase_if(lines, [&](const LogLine &it) {
-    if (fieldOf(it, "request") == request)
+    if (findField(it, "request") == request)
       return false;
-    auto at = millisOf(it.Time);
-    bool near = at && first && *at >= *first - Around.count() &&
-                *at <= *last + Around.count();
-    bool named = names.contains(fieldOf(it, "target")) ||
-                 names.contains(fieldOf(it, "group"));
-    bool other = !fieldOf(it, "request").empty();
-    return other || !near || !named || !isAboutTargets(it);
+    auto at = millisOfDay(it.Time);
+    bool inMargin = at && first && *at >= *first - TimelineMargin.count() &&
+                    *at <= *last + TimelineMargin.count();
+    bool isNamed = targetsAndGroups.contains(findField(it, "target")) ||
+                   targetsAndGroups.contains(findField(it, "group"));
+    bool ofOtherRequest = !findField(it, "request").empty();
+    return ofOtherRequest || !inMargin || !isNamed || !isTargetEvent(it);
   });
   std::stable_sort(
       lines.begin(), lines.end(),
--- a/src/tool/sql.cpp
+++ b/src/tool/sql.cpp
@@ -21,17 +21,17 @@
   return token;
 }
 
-http::Request makeRequest(const ToolOptions &options, const Words &words) {
+http::Request makeRequest(const ToolOptions &options, const Arguments &args) {
   Json params = Json::array();
-  for (std::size_t n = 2; n < words.size(); ++n) {
-    auto value = Json::parse(words[n], nullptr, false);
-    params.push_back(value.is_discarded() ? Json(words[n]) : value);
+  for (std::size_t n = 2; n < args.size(); ++n) {
+    auto value = Json::parse(args[n], nullptr, false);
+    params.push_back(value.is_discarded() ? Json(args[n]) : value);
   }
   http::Request it;
   it.Method = "POST";
-  it.Path = fmt::format("/v1/databases/{}/statements", words[0]);
+  it.Path = fmt::format("/v1/databases/{}/statements", args[0]);
   it.Body =
-      Json{{"kind", options.Kind}, {"sql", words[1]}, {"params", params}}.dump(
+      Json{{"kind", options.Kind}, {"sql", args[1]}, {"params", params}}.dump(
           -1, ' ', false, Json::error_handler_t::replace);
   it.Fields.push_back(
       {"peridotfall-deadline-ms", std::to_string(options.Deadline.count())});
@@ -53,8 +53,8 @@
 
 } // namespace
 
-int runSql(const ToolOptions &options, const Words &words) {
-  if (words.size() < 2) {
+int runSql(const ToolOptions &options, const Arguments &args) {
+  if (args.size() < 2) {
     std::cerr << "usage: peridotfall sql DATABASE STATEMENT [PARAMETER...] "
                  "--kind=KIND [--session=FILE] [--key=KEY]\n";
     return BadUsage;
@@ -63,7 +63,7 @@
   auto channel = std::make_shared<http::Channel>(loops.at(0), options.Daemon,
                                                  http::ChannelOptions{});
   std::promise<http::CallResult> promise;
-  channel->call(makeRequest(options, words),
+  channel->call(makeRequest(options, args),
                 options.Deadline + std::chrono::seconds(1),
                 [&](http::CallResult it) { promise.set_value(std::move(it)); });
   auto result = promise.get_future().get();
--- a/src/tool/status.cpp
+++ b/src/tool/status.cpp
@@ -14,20 +14,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds AskLimit{2'000};
-/// Daemons asked at once, so that the tool opens few connections.
-constexpr std::size_t AtOnce = 64;
+constexpr std::chrono::milliseconds StatusTimeout{2'000};
+/// Limits the connections that the tool opens at once.
+constexpr std::size_t MaxConcurrentRequests = 64;
 
 using Answer = std::optional<Json>;
 
-std::future<Answer> ask(http::Loops &loops, const std::string &address) {
+std::future<Answer> fetchStatus(http::Loops &loops,
+                                const std::string &address) {
   auto channel = std::make_shared<http::Channel>(loops.at(0), address,
                                                  http::ChannelOptions{});
   auto promise = std::make_shared<std::promise<Answer>>();
   http::Request request;
   request.Method = "GET";
   request.Path = "/status";
-  channel->call(request, AskLimit,
+  channel->call(request, StatusTimeout,
                 [channel, promise](const http::CallResult &it) {
                   Answer out;
                   if (it && it.value().Status == http::StatusOk)
@@ -40,15 +41,16 @@
   return promise->get_future();
 }
 
-/// \return the answer of each daemon by VM; null where there was none.
-Json askAll(http::Loops &loops, const Json &members) {
+/// \return each daemon's answer by VM, null where there was none.
+Json fetchAllStatuses(http::Loops &loops, const Json &members) {
   Json out = Json::object();
-  for (std::size_t n = 0; n < members.size(); n += AtOnce) {
+  for (std::size_t n = 0; n < members.size(); n += MaxConcurrentRequests) {
     std::map<std::string, std::future<Answer>> running;
-    for (std::size_t i = n; i < std::min(members.size(), n + AtOnce); ++i)
+    for (std::size_t i = n;
+         i < std::min(members.size(), n + MaxConcurrentRequests); ++i)
       if (!members[i].value("servesTarget", false))
         running.emplace(members[i].value("vm", ""),
-                        ask(loops, members[i].value("address", "")));
+                        fetchStatus(loops, members[i].value("address", "")));
     for (auto &[vm, it] : running) {
       auto answer = it.get();
       out[vm] = answer ? *answer : Json();
@@ -57,7 +59,7 @@
   return out;
 }
 
-std::string position(const Json &target, const char *field) {
+std::string formatPosition(const Json &target, const char *field) {
   if (!target.contains(field))
     return "-";
   const auto &it = target[field];
@@ -84,9 +86,10 @@
   }
 }
 
-/// \return what the target's owner says of it: only owners probe it.
-const Json &ownersView(const Json &answers, std::size_t database,
-                       std::size_t target, const Json &fallback) {
+/// \return the target's state as its owner reports it, or \p fallback without
+/// an answer: only the owner probes a target.
+const Json &ownerView(const Json &answers, std::size_t database,
+                      std::size_t target, const Json &fallback) {
   auto owner = answers.find(fallback.value("owner", ""));
   if (owner == answers.end() || owner->is_null() ||
       owner->at("databases").size() <= database)
@@ -103,15 +106,15 @@
   for (std::size_t n = 0; n < databases.size(); ++n) {
     const auto &targets = databases[n].at("targets");
     for (std::size_t i = 0; i < targets.size(); ++i) {
-      const auto &it = ownersView(answers, n, i, targets[i]);
+      const auto &it = ownerView(answers, n, i, targets[i]);
       std::string role = !it.value("reachable", false) ? "lost"
                          : it.value("primary", false)  ? "primary"
                                                        : "replica";
       std::cout << fmt::format(
           "{:<16} {:<20} {:<9} {:<20} {:<6} {:<10} {:<10} {}\n",
           databases[n].value("name", ""), it.value("name", ""), role,
-          it.value("owner", ""), it.value("term", 0ULL), position(it, "last"),
-          position(it, "applied"),
+          it.value("owner", ""), it.value("term", 0ULL),
+          formatPosition(it, "last"), formatPosition(it, "applied"),
           it.contains("lag") ? std::to_string(it.value("lag", 0ULL)) : "-");
     }
   }
@@ -119,19 +122,19 @@
 
 } // namespace
 
-int runStatus(const ToolOptions &options, const Words &words) {
-  if (!words.empty()) {
+int runStatus(const ToolOptions &options, const Arguments &args) {
+  if (!args.empty()) {
     std::cerr << "usage: peridotfall status [--json] [--inner=ADDRESS]\n";
     return BadUsage;
   }
   http::Loops loops(1);
-  auto first = ask(loops, options.Inner).get();
+  auto first = fetchStatus(loops, options.Inner).get();
   if (!first) {
     std::cerr << "no answer from " << options.Inner << "\n";
     return Unreachable;
   }
   const auto &members = first->at("members");
-  auto answers = askAll(loops, members);
+  auto answers = fetchAllStatuses(loops, members);
   if (options.Json) {
     std::cout << Json{{"asked", *first}, {"daemons", answers}}.dump(2) << "\n";
     return Success;
--- a/src/tool/store.cpp
+++ b/src/tool/store.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::size_t IdBytes = 8;
-constexpr int MostAttempts = 5;
+constexpr int MaxAttempts = 5;
 
-/// Waits for one call on the platform.
-template <class Call> Result<platform::Object> wait(Call call) {
+/// Blocks until the call's callback has run. \return its result.
+template <class Call> Result<platform::Object> waitFor(Call call) {
   auto promise = std::make_shared<std::promise<Result<platform::Object>>>();
   auto future = promise->get_future();
   call([promise](Result<platform::Object> it) {
@@ -26,31 +26,34 @@
 }
 
 Result<platform::Object> get(const platform::Api &api, const char *key) {
-  return wait([&](platform::OnObject done) { api.Get(key, std::move(done)); });
+  return waitFor(
+      [&](platform::OnObject done) { api.Get(key, std::move(done)); });
 }
 
 Result<platform::Object> put(const platform::Api &api, const char *key,
                              std::uint64_t expected, const std::string &value) {
-  return wait([&](platform::OnObject done) {
+  return waitFor([&](platform::OnObject done) {
     api.Put(key, expected, value, std::move(done));
   });
 }
 
-Result<Configuration> read(const platform::Object &it) {
+Result<Configuration> parseStored(const platform::Object &it) {
   auto parsed = parseConfiguration(it.Value);
   if (parsed)
     return std::move(parsed.value());
-  // Going on from revision 0 would make every daemon ignore what follows.
+  // Restarting at revision 0 would make every daemon ignore later revisions.
   return Error{ErrorCode::Invalid,
                "the stored configuration cannot be read: " +
                    describe(parsed.error().front(), "platform")};
 }
 
-Error conflict(const platform::Api &api) {
+Error conflictError(const platform::Api &api) {
   auto stored = get(api, platform::ConfigurationKey);
-  auto config = stored ? read(stored.value()) : Result<Configuration>(Error{});
+  auto config =
+      stored ? parseStored(stored.value()) : Result<Configuration>(Error{});
   if (!config)
-    return {ErrorCode::Conflict, "another operator has been first"};
+    return {ErrorCode::Conflict,
+            "another operator changed the configuration first"};
   return {ErrorCode::Conflict,
           fmt::format("{} has applied revision {} (id {}) in the meantime",
                       config.value().AppliedBy, config.value().Revision,
@@ -88,20 +91,21 @@
     return std::optional<Configuration>();
   if (!stored)
     return stored.error();
-  auto config = read(stored.value());
+  auto config = parseStored(stored.value());
   if (!config)
     return config.error();
   return std::optional(std::move(config.value()));
 }
 
-Result<Configuration> acceptNext(const platform::Api &api, const MakeNext &next,
-                                 const std::string &operatorName) {
+Result<Configuration> updateConfiguration(const platform::Api &api,
+                                          const ConfigurationUpdate &next,
+                                          const std::string &operatorName) {
   auto stored = get(api, platform::ConfigurationKey);
   if (!stored && stored.error().Code != ErrorCode::NotFound)
     return Error{ErrorCode::Unavailable, stored.error().Message};
   std::optional<Configuration> current;
   if (stored) {
-    auto config = read(stored.value());
+    auto config = parseStored(stored.value());
     if (!config)
       return config.error();
     current = std::move(config.value());
@@ -116,14 +120,14 @@
   if (result)
     return config;
   if (result.error().Code == ErrorCode::Conflict)
-    return conflict(api);
+    return conflictError(api);
   return result.error();
 }
 
 Result<StoredAnswers> storeAnswers(const platform::Api &api,
                                    const StoredAnswers &answers) {
   Error last;
-  for (int n = 0; n < MostAttempts; ++n) {
+  for (int n = 0; n < MaxAttempts; ++n) {
     auto stored = get(api, platform::AnswersKey);
     if (!stored && stored.error().Code != ErrorCode::NotFound)
       return stored.error();
--- a/src/tool/store.h
+++ b/src/tool/store.h
@@ -1,5 +1,6 @@
 /// \file
-/// Changes of the configuration and the answers at the platform.
+/// Reads and writes the configuration and the questionnaire's answers on the
+/// platform.
 
 #ifndef PERIDOTFALL_TOOL_STORE_H
 #define PERIDOTFALL_TOOL_STORE_H
@@ -14,20 +15,24 @@
 
 namespace peridotfall::tool {
 
-/// \return the configuration in force, nothing where none was ever applied.
+/// \return the current configuration, or nothing if none was ever applied.
 Result<std::optional<Configuration>>
 fetchConfiguration(const platform::Api &api);
 
-/// \param current null where none was ever applied.
-using MakeNext = std::function<Configuration(const Configuration *current)>;
+/// Makes the next configuration.
+/// \param current null if none was ever applied.
+using ConfigurationUpdate =
+    std::function<Configuration(const Configuration *current)>;
 
-/// Stores what \p next makes of the configuration in force, under the next
-/// revision and an identifier of its own. \return what was accepted. Errors:
-/// Conflict names the operator who was first; Unavailable: nothing was done.
-Result<Configuration> acceptNext(const platform::Api &api, const MakeNext &next,
-                                 const std::string &operatorName);
+/// Passes the current configuration to \p next and stores the result under the
+/// next revision and a new identifier. \return the stored configuration.
+/// Errors: Conflict, with the name of the operator who changed it first;
+/// Unavailable if nothing was changed.
+Result<Configuration> updateConfiguration(const platform::Api &api,
+                                          const ConfigurationUpdate &next,
+                                          const std::string &operatorName);
 
-/// The answers that led to a configuration.
+/// The questionnaire's answers that a configuration was generated from.
 struct StoredAnswers {
   std::uint64_t Revision = 0;
   std::string Id;
@@ -37,8 +42,9 @@
   auto operator<=>(const StoredAnswers &) const = default;
 };
 
-/// Keeps the answers of the highest revision. \return NotFound, Unavailable or
-/// Unknown where they could not be stored.
+/// Stores the answers unless those of the same or a higher revision are
+/// stored. \return the stored answers; NotFound, Unavailable or Unknown if they
+/// could not be stored.
 Result<StoredAnswers> storeAnswers(const platform::Api &api,
                                    const StoredAnswers &answers);
 Result<StoredAnswers> fetchAnswers(const platform::Api &api);
--- a/tests/proxy/logs_test.cpp
+++ b/tests/proxy/logs_test.cpp
@@ -1,7 +1,7 @@
 #include "fixture.h"
 
 #include "telemetry/log_writer.h"
-#include "tool/story.h"
+#include "tool/request_timeline.h"
 
 using namespace peridotfall;
 using namespace peridotfall::proxy;
@@ -24,7 +24,7 @@
 
   std::vector<std::string> story(const char *request) const {
     std::vector<std::string> out;
-    for (const auto &it : tool::storyOf(request, Lines)) {
+    for (const auto &it : tool::requestTimeline(request, Lines)) {
       auto why = it.Fields.find("why");
       out.push_back(it.Event +
                     (why == it.Fields.end() ? "" : " " + why->second));
--- a/tests/standin/platform.cpp
+++ b/tests/standin/platform.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// As long as any caller's own limit: an answer that never comes.
-constexpr std::chrono::milliseconds Never{60'000};
+constexpr std::chrono::milliseconds NoAnswerDelay{60'000};
 
 Json toJson(const platform::Object &it) {
   return {{"version", it.Version}, {"value", it.Value}};
 }
 
-bool takePrefix(std::string &path, const std::string &prefix) {
+bool stripPrefix(std::string &path, const std::string &prefix) {
   if (path.rfind(prefix, 0) != 0)
     return false;
   path = path.substr(prefix.size());
@@ -58,7 +58,7 @@
 
 void Platform::stop() { Server->stop(); }
 
-void Platform::later(std::chrono::milliseconds delay,
+void Platform::runAfter(std::chrono::milliseconds delay,
                      std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(Pool.at(0), delay);
   timer->async_wait([timer, action = std::move(action)](std::error_code ec) {
@@ -77,7 +77,7 @@
   if (Down) {
     // Silence, as from a store that is away: the caller's limit decides.
     guard.unlock();
-    later(Never, [respond] { respond({http::StatusBad, {}, ""}); });
+    runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
     return;
   }
   ++Counts[request.Method + " " +
@@ -88,7 +88,7 @@
     serve(request, respond);
     return;
   }
-  later(delay, [self = shared_from_this(), request, respond] {
+  runAfter(delay, [self = shared_from_this(), request, respond] {
     self->serve(request, respond);
   });
 }
@@ -99,11 +99,11 @@
   if (path == "/vms") {
     std::lock_guard guard(Lock);
     respond(jsonResponse(http::StatusOk, Vms));
-  } else if (takePrefix(path, "/watch/")) {
+  } else if (stripPrefix(path, "/watch/")) {
     watch(path, queryNumber(request.Path, "after"),
           std::chrono::milliseconds(queryNumber(request.Path, "wait_ms")),
           respond);
-  } else if (!takePrefix(path, "/objects/")) {
+  } else if (!stripPrefix(path, "/objects/")) {
     respond({http::StatusNotFound, {}, ""});
   } else if (request.Method == "GET") {
     respond(get(path));
@@ -116,7 +116,7 @@
       --LoseAnswers;
     guard.unlock();
     if (lose)
-      later(Never, [respond] { respond({http::StatusBad, {}, ""}); });
+      runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
     else
       respond(std::move(response));
   }
@@ -166,7 +166,7 @@
     }
   }
   // Answering a waiter twice does no harm: the second answer is dropped.
-  later(wait,
+  runAfter(wait,
         [self = shared_from_this(), key, respond] { respond(self->get(key)); });
 }
 
--- a/tests/standin/platform.h
+++ b/tests/standin/platform.h
@@ -45,7 +45,7 @@
   void watch(const std::string &key, std::uint64_t after,
              std::chrono::milliseconds wait, const http::Respond &respond);
   http::Response control(const std::string &body);
-  void later(std::chrono::milliseconds delay, std::function<void()> action);
+  void runAfter(std::chrono::milliseconds delay, std::function<void()> action);
 
   http::Loops &Pool;
   std::shared_ptr<http::Server> Server;
--- a/tests/standin/sql_store.cpp
+++ b/tests/standin/sql_store.cpp
@@ -54,9 +54,9 @@
 
 /// Callers must not reach past their statement: a COMMIT of theirs would end
 /// a transaction that the log does not know of.
-int authorize(void *checked, int action, const char *, const char *,
+int authorize(void *isRestricted, int action, const char *, const char *,
               const char *, const char *) {
-  if (!*static_cast<bool *>(checked))
+  if (!*static_cast<bool *>(isRestricted))
     return SQLITE_OK;
   switch (action) {
   case SQLITE_TRANSACTION:
@@ -86,17 +86,17 @@
   Db.reset(db);
   if (rc != SQLITE_OK)
     throw std::runtime_error("cannot open SQLite in memory");
-  sqlite3_set_authorizer(db, authorize, &Checked);
+  sqlite3_set_authorizer(db, authorize, &IsRestricted);
 }
 
 SqlResult SqlSession::run(const LoggedStatement &statement, bool mayWrite) {
-  Checked = true;
+  IsRestricted = true;
   auto out = execute(statement, mayWrite);
-  Checked = false;
+  IsRestricted = false;
   return out;
 }
 
-SqlResult SqlSession::control(const std::string &sql) {
+SqlResult SqlSession::execute(const std::string &sql) {
   return execute({sql, {}}, true);
 }
 
@@ -149,7 +149,7 @@
   Writer.reset();
   Uri = fmt::format("file:/{}?vfs=memdb", randomHex(8));
   Writer = open();
-  Writer->control(KeyTable);
+  Writer->execute(KeyTable);
 }
 
 std::unique_ptr<SqlSession> SqlStore::open() const {
@@ -159,13 +159,13 @@
 void SqlStore::apply(const Record &record) {
   if (record.Statements.empty())
     return;
-  Writer->control("BEGIN IMMEDIATE");
+  Writer->execute("BEGIN IMMEDIATE");
   for (const auto &it : record.Statements) {
     auto result = Writer->run(it, true);
     if (!result.Error.empty())
       throw std::runtime_error("log does not apply: " + result.Error);
   }
-  Writer->control("COMMIT");
+  Writer->execute("COMMIT");
 }
 
 void SqlStore::rebuild(const std::vector<Record> &records) {
@@ -174,7 +174,7 @@
     apply(it);
 }
 
-LoggedStatement storeKey(const std::string &key, const StoredAnswer &stored) {
+LoggedStatement makeKeyInsert(const std::string &key, const StoredAnswer &stored) {
   return {"INSERT INTO peridotfall_keys(key, digest, answer) VALUES(?, ?, ?)",
           {key, stored.Digest, stored.Answer}};
 }
--- a/tests/standin/sql_store.h
+++ b/tests/standin/sql_store.h
@@ -48,7 +48,7 @@
   /// are refused. \param mayWrite refuse a statement that writes if false.
   SqlResult run(const LoggedStatement &statement, bool mayWrite);
   /// Runs a statement of our own, unchecked.
-  SqlResult control(const std::string &sql);
+  SqlResult execute(const std::string &sql);
 
 private:
   struct Close {
@@ -57,7 +57,7 @@
   SqlResult execute(const LoggedStatement &statement, bool mayWrite);
 
   std::unique_ptr<sqlite3, Close> Db;
-  bool Checked = false;
+  bool IsRestricted = false;
 };
 
 /// The answer stored under an idempotency key, and what it was for.
@@ -85,7 +85,7 @@
 };
 
 /// The statement that stores an answer under its key.
-LoggedStatement storeKey(const std::string &key, const StoredAnswer &stored);
+LoggedStatement makeKeyInsert(const std::string &key, const StoredAnswer &stored);
 /// \return what is stored under a key, as the session sees it.
 std::optional<StoredAnswer> findKey(SqlSession &session,
                                     const std::string &key);
--- a/tests/tool/story_test.cpp
+++ b/tests/tool/request_timeline_test.cpp
@@ -1,4 +1,4 @@
-#include "tool/story.h"
+#include "tool/request_timeline.h"
 
 #include <doctest/doctest.h>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-struct StoryFixture {
+struct TimelineFixture {
   std::vector<LogLine> Lines;
 
   void add(const char *source, const char *line) {
@@ -16,7 +16,7 @@
   }
   std::vector<std::string> events(const char *request) const {
     std::vector<std::string> out;
-    for (const auto &it : storyOf(request, Lines))
+    for (const auto &it : requestTimeline(request, Lines))
       out.push_back(it.Source + " " + it.Event);
     return out;
   }
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("log line, quoted values, is taken apart") {
+TEST_CASE("log line, quoted values, is parsed") {
   auto it = parseLogLine("time=2026-09-24T06:07:56.833Z level=warning "
                          "event=PF5002 msg=\"statement refused\" request=0d "
                          "why=\"no \\\"primary\\\" = none\" tries=2",
@@ -36,17 +36,16 @@
   CHECK(it->Fields.at("tries") == "2");
 }
 
-TEST_CASE("text that is no event, is passed over") {
+TEST_CASE("text without an event, is skipped") {
   CHECK_FALSE(parseLogLine("callers on port 8080, inner on port 8081", "a"));
   CHECK_FALSE(parseLogLine("", "a"));
 }
 
-// A caller's write has an unknown outcome. The daemon that took it, the one
-// that held the connection and the one that replaced the primary each log a
-// part; together they tell why.
-TEST_CASE_FIXTURE(
-    StoryFixture,
-    "write around a change of primary, story leads to its cause") {
+// A caller's write has an unknown outcome. The daemon that received it, the one
+// with the connection to the target and the one that replaced the primary each
+// log a part of the cause.
+TEST_CASE_FIXTURE(TimelineFixture,
+                  "write during a failover, timeline has its cause") {
   add("press-1", "time=2026-09-24T06:07:56.900Z event=PF5003 request=0d "
                  "target=i-9e why=\"target silent\"");
   add("desk-2", "time=2026-09-24T06:07:56.880Z event=PF4015 request=0d "
@@ -62,8 +61,9 @@
                                                  "depot-3 PF4013"});
 }
 
-TEST_CASE_FIXTURE(StoryFixture,
-                  "refused statement, no primary, story names the promotion") {
+TEST_CASE_FIXTURE(
+    TimelineFixture,
+    "rejected statement, no primary, timeline has the promotion") {
   add("press-1", "time=2026-09-24T06:07:56.900Z event=PF5002 request=0d "
                  "group=led why=\"no primary to run it\" last_target=\"\"");
   add("depot-3", "time=2026-09-24T06:07:56.500Z event=PF4011 group=led "
@@ -72,8 +72,9 @@
         std::vector<std::string>{"depot-3 PF4011", "press-1 PF5002"});
 }
 
-TEST_CASE_FIXTURE(StoryFixture,
-                  "read refused for its age, story shows each target's word") {
+TEST_CASE_FIXTURE(
+    TimelineFixture,
+    "read rejected for its age, timeline has each target's answer") {
   add("press-1", "time=2026-09-24T06:07:56.100Z event=PF5009 request=0d "
                  "target=i-1 why=lagging tries=1");
   add("press-1", "time=2026-09-24T06:07:56.150Z event=PF5009 request=0d "
--- a/tests/tool/store_test.cpp
+++ b/tests/tool/store_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A platform in memory, behind the guard; its loop runs on a thread of its
-/// own, as the tool's does.
+/// An in-memory platform behind the guard. Its loop runs on its own thread, as
+/// in the tool.
 struct StoreFixture {
   http::Loops Loops{1};
   SystemClock Time;
@@ -50,15 +50,15 @@
   }
 
   Result<Configuration> apply(const std::string &who) {
-    return acceptNext(
+    return updateConfiguration(
         Api, [](const Configuration *) { return Configuration(); }, who);
   }
 };
 
 } // namespace
 
-// The platform makes the change and its answer is lost. The operator has to
-// be told that it is accepted, and once.
+// The platform makes the change, but its answer is lost. The retry must report
+// the change as accepted and must not apply it a second time.
 TEST_CASE_FIXTURE(StoreFixture, "apply, answer lost, is accepted once") {
   LoseAnswers = 1;
   auto it = apply("mari");
@@ -69,9 +69,10 @@
   CHECK(stored.value()->Id == it.value().Id);
 }
 
-// Two operators read the same revision, and the second one's change arrives
-// first. One wins, and the other is told by whom it lost.
-TEST_CASE_FIXTURE(StoreFixture, "apply, two at once, tells the loser by whom") {
+// Two operators read the same revision and the second one's change is stored
+// first. The other must get a conflict with the name of that operator.
+TEST_CASE_FIXTURE(StoreFixture,
+                  "apply, two at once, conflict names the other operator") {
   REQUIRE(apply("mari"));
   BeforePut = [this] { REQUIRE(apply("jaan")); };
   auto it = apply("mari");
@@ -81,10 +82,10 @@
         std::string::npos);
 }
 
-// The loser's own answer is lost too: it must not take the winner's change for
-// its own.
-TEST_CASE_FIXTURE(StoreFixture, "apply, lost the race and the answer, is a "
-                                "conflict") {
+// Another operator's change is stored first, and the answer to the own change
+// is lost too. The other's change must not be reported as the own one.
+TEST_CASE_FIXTURE(StoreFixture,
+                  "apply, other change first and answer lost, is a conflict") {
   REQUIRE(apply("mari"));
   LoseAnswers = 1;
   BeforePut = [this] { REQUIRE(apply("jaan")); };
@@ -94,7 +95,7 @@
 }
 
 TEST_CASE_FIXTURE(StoreFixture,
-                  "apply, stored one unreadable, changes nothing") {
+                  "apply, stored configuration unreadable, changes nothing") {
   Stored[platform::ConfigurationKey] = {3, "{"};
   auto it = apply("mari");
   REQUIRE_FALSE(it);
@@ -102,8 +103,9 @@
   CHECK(Stored[platform::ConfigurationKey].Version == 3);
 }
 
-// The answers of an earlier revision arrive late; those in force stay.
-TEST_CASE_FIXTURE(StoreFixture, "answers, an older revision late, stay") {
+// Answers of an older revision that arrive late must not replace newer ones.
+TEST_CASE_FIXTURE(StoreFixture,
+                  "answers, older revision arrives late, newer ones stay") {
   REQUIRE(storeAnswers(Api, {2, "b", "jaan", "two"}));
   REQUIRE(storeAnswers(Api, {1, "a", "mari", "one"}));
   auto it = fetchAnswers(Api);
