--- a/tests/standin/platform.cpp
+++ b/tests/standin/platform.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// As long as any caller's own limit: an answer that never comes.
+/// Delay of a withheld answer, at least any caller's own timeout.
 constexpr std::chrono::milliseconds NoAnswerDelay{60'000};
 
 Json toJson(const platform::Object &it) {
@@ -59,7 +59,7 @@
 void Platform::stop() { Server->stop(); }
 
 void Platform::runAfter(std::chrono::milliseconds delay,
-                     std::function<void()> action) {
+                        std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(Pool.at(0), delay);
   timer->async_wait([timer, action = std::move(action)](std::error_code ec) {
     if (!ec)
@@ -75,7 +75,7 @@
   }
   std::unique_lock guard(Lock);
   if (Down) {
-    // Silence, as from a store that is away: the caller's limit decides.
+    // No answer, as from an unreachable store: the caller has to time out.
     guard.unlock();
     runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
     return;
@@ -116,7 +116,9 @@
       --LoseAnswers;
     guard.unlock();
     if (lose)
-      runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
+      runAfter(NoAnswerDelay, [respond] {
+        respond({http::StatusBad, {}, ""});
+      });
     else
       respond(std::move(response));
   }
@@ -165,9 +167,10 @@
       return;
     }
   }
-  // Answering a waiter twice does no harm: the second answer is dropped.
-  runAfter(wait,
-        [self = shared_from_this(), key, respond] { respond(self->get(key)); });
+  // A waiter may be answered twice; the second answer is dropped.
+  runAfter(wait, [self = shared_from_this(), key, respond] {
+    respond(self->get(key));
+  });
 }
 
 http::Response Platform::control(const std::string &body) {
--- a/tests/standin/platform.h
+++ b/tests/standin/platform.h
@@ -1,8 +1,8 @@
 /// \file
-/// A small stand-in for the platform: versioned objects, watches and the list
-/// of VMs, with faults that tests switch on.
+/// A minimal test double of the platform: versioned objects, watches and the
+/// list of VMs, with faults that tests can inject.
 ///
-/// Beside the API of src/platform/http_platform.h it serves
+/// In addition to the API of src/platform/http_platform.h it serves
 ///
 ///     POST /control   {"down": bool, "delayMs": N, "loseAnswers": N,
 ///                      "vms": [...], "counts": true}
@@ -52,14 +52,15 @@
   std::mutex Lock;
   std::map<std::string, platform::Object> Objects;
   std::map<std::string, std::vector<Waiter>> Waiters;
-  std::map<std::string, std::uint64_t> Counts; ///< Calls by method.
+  std::map<std::string, std::uint64_t> Counts; ///< Calls by kind.
   Json Vms = Json::array();
   bool Down = false;
   std::chrono::milliseconds Delay{0};
-  unsigned LoseAnswers = 0; ///< Of the next changes, after their effect.
+  unsigned LoseAnswers = 0; ///< Number of next changes that take effect but
+                            ///< get no answer.
 };
 
-/// \return the value of a parameter of the path's query, or 0.
+/// \return the value of a query parameter of \p path, or 0.
 std::uint64_t queryNumber(const std::string &path, const std::string &name);
 
 http::Response jsonResponse(int status, const Json &body);
--- a/tests/standin/platform_main.cpp
+++ b/tests/standin/platform_main.cpp
@@ -1,4 +1,4 @@
-// The stand-in platform as a process of its own.
+// Runs the stand-in platform as a process.
 
 #include "standin/platform.h"
 
--- a/tests/standin/sql_store.cpp
+++ b/tests/standin/sql_store.cpp
@@ -52,8 +52,8 @@
   }
 }
 
-/// Callers must not reach past their statement: a COMMIT of theirs would end
-/// a transaction that the log does not know of.
+/// Denies callers' statements that act on more than themselves: a COMMIT would
+/// end a transaction without a record in the log.
 int authorize(void *isRestricted, int action, const char *, const char *,
               const char *, const char *) {
   if (!*static_cast<bool *>(isRestricted))
@@ -96,7 +96,7 @@
   return out;
 }
 
-SqlResult SqlSession::execute(const std::string &sql) {
+SqlResult SqlSession::runUnrestricted(const std::string &sql) {
   return execute({sql, {}}, true);
 }
 
@@ -149,7 +149,7 @@
   Writer.reset();
   Uri = fmt::format("file:/{}?vfs=memdb", randomHex(8));
   Writer = open();
-  Writer->execute(KeyTable);
+  Writer->runUnrestricted(KeyTable);
 }
 
 std::unique_ptr<SqlSession> SqlStore::open() const {
@@ -159,13 +159,13 @@
 void SqlStore::apply(const Record &record) {
   if (record.Statements.empty())
     return;
-  Writer->execute("BEGIN IMMEDIATE");
+  Writer->runUnrestricted("BEGIN IMMEDIATE");
   for (const auto &it : record.Statements) {
     auto result = Writer->run(it, true);
     if (!result.Error.empty())
-      throw std::runtime_error("log does not apply: " + result.Error);
+      throw std::runtime_error("cannot apply log record: " + result.Error);
   }
-  Writer->execute("COMMIT");
+  Writer->runUnrestricted("COMMIT");
 }
 
 void SqlStore::rebuild(const std::vector<Record> &records) {
@@ -174,7 +174,8 @@
     apply(it);
 }
 
-LoggedStatement makeKeyInsert(const std::string &key, const StoredAnswer &stored) {
+LoggedStatement makeKeyInsert(const std::string &key,
+                              const StoredAnswer &stored) {
   return {"INSERT INTO peridotfall_keys(key, digest, answer) VALUES(?, ?, ?)",
           {key, stored.Digest, stored.Answer}};
 }
--- a/tests/standin/sql_store.h
+++ b/tests/standin/sql_store.h
@@ -1,6 +1,6 @@
 /// \file
-/// SQLite in memory behind a log of committed transactions. The log can be
-/// cut back and the store built anew from it.
+/// In-memory SQLite database behind a log of committed transactions. The store
+/// can be rebuilt from a truncated log.
 
 #ifndef PERIDOTFALL_TESTS_STANDIN_SQL_STORE_H
 #define PERIDOTFALL_TESTS_STANDIN_SQL_STORE_H
@@ -22,7 +22,7 @@
   bool operator==(const LoggedStatement &) const = default;
 };
 
-/// What a committed transaction did. No statements: a start-of-term record.
+/// The statements of a committed transaction; none in a start-of-term record.
 struct Record {
   Position At;
   std::vector<LoggedStatement> Statements;
@@ -31,8 +31,8 @@
 };
 
 struct SqlResult {
-  std::string Error; ///< Empty: it ran.
-  bool Busy = false; ///< A lock was in the way; nothing ran.
+  std::string Error; ///< Empty if the statement ran.
+  bool Busy = false; ///< Nothing ran because of a lock.
   std::vector<std::string> Columns;
   std::vector<Row> Rows;
   std::int64_t Changes = 0;
@@ -44,11 +44,11 @@
 public:
   explicit SqlSession(const std::string &uri);
 
-  /// Runs one statement of a caller; transaction control, ATTACH and PRAGMA
-  /// are refused. \param mayWrite refuse a statement that writes if false.
+  /// Runs one statement of a caller. Rejects transaction control, ATTACH and
+  /// PRAGMA. \param mayWrite if false, rejects a statement that writes.
   SqlResult run(const LoggedStatement &statement, bool mayWrite);
-  /// Runs a statement of our own, unchecked.
-  SqlResult execute(const std::string &sql);
+  /// Runs a statement of the stand-in itself, without these restrictions.
+  SqlResult runUnrestricted(const std::string &sql);
 
 private:
   struct Close {
@@ -60,7 +60,7 @@
   bool IsRestricted = false;
 };
 
-/// The answer stored under an idempotency key, and what it was for.
+/// The answer stored under an idempotency key, and the digest of its statement.
 struct StoredAnswer {
   std::string Digest;
   std::string Answer;
@@ -73,7 +73,7 @@
   std::unique_ptr<SqlSession> open() const;
   /// Applies a record of another target's log.
   void apply(const Record &record);
-  /// Drops all and applies these records anew.
+  /// Drops all data and applies \p records.
   void rebuild(const std::vector<Record> &records);
   SqlSession &writer() { return *Writer; }
 
@@ -84,9 +84,10 @@
   std::unique_ptr<SqlSession> Writer;
 };
 
-/// The statement that stores an answer under its key.
-LoggedStatement makeKeyInsert(const std::string &key, const StoredAnswer &stored);
-/// \return what is stored under a key, as the session sees it.
+/// \return the statement that stores an answer under its key.
+LoggedStatement makeKeyInsert(const std::string &key,
+                              const StoredAnswer &stored);
+/// \return the answer stored under \p key that is visible to the session.
 std::optional<StoredAnswer> findKey(SqlSession &session,
                                     const std::string &key);
 
--- a/tests/standin/target.cpp
+++ b/tests/standin/target.cpp
@@ -12,7 +12,7 @@
 
 Target::Target(http::Loops &loops, TargetOptions options)
     : Pool(loops), Options(std::move(options)), IsPrimary(Options.Primary),
-      CaughtUp(std::chrono::steady_clock::now()) {
+      CaughtUpAt(std::chrono::steady_clock::now()) {
   if (IsPrimary)
     append({{CurrentTerm, 1}, {}});
 }
@@ -23,7 +23,7 @@
   options.MaxStreams = limits::MaxInnerStreams;
   options.OnClosed = [weak = weak_from_this()](ConnectionHandle it) {
     if (auto self = weak.lock())
-      self->closed(it);
+      self->handleClosed(it);
   };
   Server = std::make_shared<http::Server>(
       Pool, options,
@@ -49,8 +49,8 @@
   Server->stop();
 }
 
-void Target::later(std::chrono::microseconds delay,
-                   std::function<void()> action) {
+void Target::runAfter(std::chrono::microseconds delay,
+                      std::function<void()> action) {
   if (delay.count() == 0) {
     action();
     return;
@@ -73,8 +73,8 @@
     respond(control(body.value()));
     return;
   }
-  if (Cut)
-    return; // No answer, as behind a broken link.
+  if (IsCut)
+    return; // No answer, as over a failed link.
   try {
     route(request, body.value(), respond);
   } catch (const Json::exception &) {
@@ -105,7 +105,7 @@
     respond({http::StatusNotFound, {}, ""});
 }
 
-void Target::closed(ConnectionHandle it) {
+void Target::handleClosed(ConnectionHandle it) {
   Connected.erase(it);
   Transactions.erase(it); // Rolls back.
 }
@@ -118,7 +118,7 @@
       milliseconds(body.value("applyLagMs", Options.ApplyLag.count()));
   if (body.contains("serviceMs"))
     Options.ServiceTime = milliseconds(body["serviceMs"].get<int>());
-  Cut = body.value("cut", Cut);
+  IsCut = body.value("cut", IsCut);
   Leaving = body.value("leaving", Leaving);
   return jsonResponse(http::StatusOk, target::toJson(status()));
 }
--- a/tests/standin/target.h
+++ b/tests/standin/target.h
@@ -1,14 +1,14 @@
 /// \file
-/// A small stand-in for a target of a database group: SQL that really runs
-/// (SQLite in memory), a log shipped to replicas with a lag, terms, scarce
-/// connections and slots. The log is a target's durable state; it lives as
-/// long as the process.
+/// A minimal test double of a target of a database group: runs SQL in an
+/// in-memory SQLite database, ships its log to replicas with a lag, has terms
+/// and limited connections and slots. The log stands for a target's durable
+/// state; it is lost when the process ends.
 ///
-/// Beside the protocol of src/target/wire.h it serves
+/// In addition to the protocol of src/target/wire.h it serves
 ///
-///     POST /log       to its replicas
+///     POST /log       log records, for its replicas
 ///     POST /control   {"shipLagMs", "applyLagMs", "serviceMs", "cut",
-///                      "leaving"}: faults for tests
+///                      "leaving"}: fault injection
 
 #ifndef PERIDOTFALL_TESTS_STANDIN_TARGET_H
 #define PERIDOTFALL_TESTS_STANDIN_TARGET_H
@@ -36,14 +36,14 @@
   unsigned Connections = 16;
   unsigned Slots = 2;
   std::chrono::milliseconds ConnectTime{0};
-  std::chrono::microseconds ServiceTime{0}; ///< Each statement holds a slot.
-  std::chrono::milliseconds ShipLag{0};     ///< Until a replica's log has it.
-  std::chrono::milliseconds ApplyLag{0};    ///< Until its readers see it.
-  bool Primary = false;                     ///< Of term 1, at the start.
-  std::string Follow; ///< Primary's address, at the start.
+  std::chrono::microseconds ServiceTime{0}; ///< Statement's time in a slot.
+  std::chrono::milliseconds ShipLag{0}; ///< Until a replica's log has a record.
+  std::chrono::milliseconds ApplyLag{0}; ///< From then until readers see it.
+  bool Primary = false;                  ///< Starts as the primary of term 1.
+  std::string Follow; ///< Address of the primary to follow at the start.
 };
 
-/// All on one loop: its own thread is the only one that touches it.
+/// Runs on one loop; only that loop's thread uses its state.
 class Target : public std::enable_shared_from_this<Target> {
 public:
   Target(http::Loops &loops, TargetOptions options);
@@ -79,8 +79,8 @@
   void handle(const http::Request &request, const http::Respond &respond);
   void route(const http::Request &request, const Json &body,
              const http::Respond &respond);
-  void closed(ConnectionHandle it);
-  void later(std::chrono::microseconds delay, std::function<void()> action);
+  void handleClosed(ConnectionHandle it);
+  void runAfter(std::chrono::microseconds delay, std::function<void()> action);
 
   // Statements (target_statements.cpp).
   void connect(ConnectionHandle connection, const http::Respond &respond);
@@ -88,27 +88,28 @@
                const http::Respond &respond);
   void runNext();
   void run(const Work &work);
-  StatementAnswer answer(const Work &work);
+  StatementAnswer execute(const Work &work);
   StatementAnswer begin(const Work &work);
   StatementAnswer runInTransaction(const Work &work, Transaction &it);
   StatementAnswer findCommit(const StatementRequest &request);
   StatementAnswer commit(const Work &work, Transaction &it);
   StatementAnswer write(const StatementRequest &request);
   StatementAnswer read(const StatementRequest &request);
-  std::optional<StatementAnswer> refuseWrite(const StatementRequest &request);
+  std::optional<StatementAnswer> rejectWrite(const StatementRequest &request);
   std::optional<StatementAnswer> replay(const StatementRequest &request,
                                         SqlSession &session);
-  StatementAnswer done(const StatementRequest &request,
-                       const SqlResult &result) const;
-  /// Commits with the answer under the request's key, and logs it.
-  StatementAnswer finish(const StatementRequest &request, SqlSession &session,
-                         std::vector<LoggedStatement> writes,
-                         const SqlResult &result);
+  StatementAnswer makeAnswer(const StatementRequest &request,
+                             const SqlResult &result) const;
+  /// Stores the answer under the request's key, commits and logs both.
+  StatementAnswer commitAndLog(const StatementRequest &request,
+                               SqlSession &session,
+                               std::vector<LoggedStatement> writes,
+                               const SqlResult &result);
   void dropTransactions();
 
   // Terms and the log (target_log.cpp).
   target::Status status() const;
-  Position last() const;
+  Position lastPosition() const;
   http::Response fence(Term term);
   http::Response promote(Term term);
   http::Response follow(Term term, const std::string &address);
@@ -118,12 +119,12 @@
   http::Response logResponse(Position after) const;
   void append(Record record);
   void wakeWaiters();
-  void pull();
-  void pulled(std::uint64_t generation, TimePoint asked,
-              const http::CallResult &result);
-  void receive(const std::vector<Record> &records);
+  void requestLog();
+  void handleLogResponse(std::uint64_t generation, TimePoint requestedAt,
+                         const http::CallResult &result);
+  void appendReceived(const std::vector<Record> &records);
   void applyUpTo(std::uint64_t index);
-  void dropLast();
+  void dropLastRecord();
   http::Response control(const Json &body);
 
   http::Loops &Pool;
@@ -134,12 +135,12 @@
   Term CurrentTerm = 1;
   bool IsPrimary = false;
   bool Leaving = false;
-  bool Cut = false;
+  bool IsCut = false;
   std::vector<Record> Log;
   std::uint64_t Applied = 0;    ///< Records that readers see.
-  Position Received;            ///< Shipped, maybe not yet in the log.
-  std::uint64_t Generation = 0; ///< Of what is followed.
-  TimePoint CaughtUp;
+  Position Received;            ///< Last record received, maybe not logged yet.
+  std::uint64_t Generation = 0; ///< Changes with the followed primary.
+  TimePoint CaughtUpAt;
   SqlStore Store;
 
   std::map<ConnectionHandle, Transaction> Transactions;
--- a/tests/standin/target_log.cpp
+++ b/tests/standin/target_log.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds PullWait{200};
-constexpr std::chrono::milliseconds PullLimit{400};
-constexpr std::chrono::milliseconds PullRetry{20};
-constexpr std::size_t MostRecordsShipped = 1'000;
+constexpr std::chrono::milliseconds LogPollWait{200};
+constexpr std::chrono::milliseconds LogRequestTimeout{400};
+constexpr std::chrono::milliseconds LogRetryDelay{20};
+constexpr std::size_t MaxRecordsPerResponse = 1'000;
 
 Json toJson(const Record &record) {
   Json statements = Json::array();
@@ -39,7 +39,7 @@
 
 } // namespace
 
-Position Target::last() const {
+Position Target::lastPosition() const {
   return Log.empty() ? Position{} : Log.back().At;
 }
 
@@ -47,17 +47,17 @@
   target::Status it;
   it.CurrentTerm = CurrentTerm;
   it.IsPrimary = IsPrimary;
-  it.Last = last();
+  it.Last = lastPosition();
   it.Applied = Applied == 0 ? Position{} : Log[Applied - 1].At;
   it.Following = IsPrimary || !Upstream ? "" : Upstream->address();
   it.Leaving = Leaving;
   if (!IsPrimary)
-    it.Age = std::chrono::steady_clock::now() - CaughtUp;
+    it.Age = std::chrono::steady_clock::now() - CaughtUpAt;
   return it;
 }
 
-/// What a lower term began must not go on: its transactions end, its log is
-/// no longer copied, and whoever waits for it is answered.
+/// Ends what a lower term began: its transactions are rolled back, its log is
+/// no longer fetched, and requests that wait for its records are answered.
 void Target::acceptTerm(Term term) {
   CurrentTerm = term;
   IsPrimary = false;
@@ -84,7 +84,7 @@
     ++Generation;
     applyUpTo(Log.size());
     IsPrimary = true;
-    append({{term, last().Index + 1}, {}});
+    append({{term, lastPosition().Index + 1}, {}});
   }
   return jsonResponse(http::StatusOk, target::toJson(status()));
 }
@@ -97,8 +97,8 @@
     acceptTerm(term);
     Upstream = std::make_shared<http::Channel>(Pool.at(0), address,
                                                http::ChannelOptions{});
-    Received = last();
-    pull();
+    Received = lastPosition();
+    requestLog();
   }
   return jsonResponse(http::StatusOk, target::toJson(status()));
 }
@@ -109,25 +109,25 @@
   std::chrono::milliseconds wait(body.at("waitMs").get<int>());
   AwaitWaiters.push_back(it);
   wakeWaiters();
-  // Answering twice does no harm: the second answer is dropped.
-  later(wait, [self = shared_from_this(), respond] {
+  // The request may be answered twice; the second answer is dropped.
+  runAfter(wait, [self = shared_from_this(), respond] {
     respond(jsonResponse(http::StatusOk, target::toJson(self->status())));
   });
 }
 
 void Target::wakeWaiters() {
-  auto reached = [&](const AwaitWaiter &it) {
+  auto isReached = [&](const AwaitWaiter &it) {
     return CurrentTerm > it.InTerm ||
-           (last().InTerm == it.InTerm && last() >= it.At);
+           (lastPosition().InTerm == it.InTerm && lastPosition() >= it.At);
   };
   auto response = jsonResponse(http::StatusOk, target::toJson(status()));
   for (const auto &it : AwaitWaiters)
-    if (reached(it))
+    if (isReached(it))
       it.Respond(response);
-  std::erase_if(AwaitWaiters, reached);
+  std::erase_if(AwaitWaiters, isReached);
   auto readers = std::exchange(LogWaiters, {});
   for (const auto &it : readers) {
-    if (IsPrimary && it.After == last())
+    if (IsPrimary && it.After == lastPosition())
       LogWaiters.push_back(it);
     else
       it.Respond(logResponse(it.After));
@@ -149,9 +149,9 @@
   }
   bool known = after.Index <= Log.size() &&
                (after.Index == 0 || Log[after.Index - 1].At == after);
-  if (known && after == last()) {
+  if (known && after == lastPosition()) {
     LogWaiters.push_back({after, respond});
-    later(PullWait, [self = shared_from_this(), after, respond] {
+    runAfter(LogPollWait, [self = shared_from_this(), after, respond] {
       respond(self->logResponse(after));
     });
     return;
@@ -167,77 +167,79 @@
   Json records = Json::array();
   if (known) {
     auto end =
-        std::min<std::size_t>(Log.size(), after.Index + MostRecordsShipped);
+        std::min<std::size_t>(Log.size(), after.Index + MaxRecordsPerResponse);
     for (auto n = after.Index; n < end; ++n)
       records.push_back(toJson(Log[n]));
   }
-  return jsonResponse(http::StatusOk, {{"known", known},
-                                       {"records", records},
-                                       {"last", target::toJson(last())}});
+  return jsonResponse(http::StatusOk,
+                      {{"known", known},
+                       {"records", records},
+                       {"last", target::toJson(lastPosition())}});
 }
 
-void Target::pull() {
+void Target::requestLog() {
   http::Request request;
   request.Method = "POST";
   request.Path = "/log";
   request.Body =
       Json{{"term", CurrentTerm}, {"after", target::toJson(Received)}}.dump();
-  Upstream->call(
-      std::move(request), PullLimit,
-      [weak = weak_from_this(), generation = Generation,
-       asked = std::chrono::steady_clock::now()](const http::CallResult &it) {
-        if (auto self = weak.lock())
-          self->pulled(generation, asked, it);
-      });
+  Upstream->call(std::move(request), LogRequestTimeout,
+                 [weak = weak_from_this(), generation = Generation,
+                  requestedAt = std::chrono::steady_clock::now()](
+                     const http::CallResult &it) {
+                   if (auto self = weak.lock())
+                     self->handleLogResponse(generation, requestedAt, it);
+                 });
 }
 
-void Target::pulled(std::uint64_t generation, TimePoint asked,
-                    const http::CallResult &result) {
+void Target::handleLogResponse(std::uint64_t generation, TimePoint requestedAt,
+                               const http::CallResult &result) {
   if (generation != Generation)
     return;
-  auto again = [self = shared_from_this(), generation] {
+  auto requestAgain = [self = shared_from_this(), generation] {
     if (generation == self->Generation)
-      self->pull();
+      self->requestLog();
   };
   auto json =
       result ? parseJson(result.value().Body) : Parsed<Json>(Findings{});
-  if (!result || result.value().Status != http::StatusOk || !json || Cut) {
-    later(PullRetry, again);
+  if (!result || result.value().Status != http::StatusOk || !json || IsCut) {
+    runAfter(LogRetryDelay, requestAgain);
     return;
   }
   if (!json.value().at("known").get<bool>()) {
-    // The primary does not have our last record: it was never confirmed.
-    dropLast();
-    Received = last();
-    again();
+    // The primary does not have the last record here: it was never confirmed.
+    dropLastRecord();
+    Received = lastPosition();
+    requestAgain();
     return;
   }
   std::vector<Record> records;
   for (const auto &it : json.value().at("records"))
     records.push_back(recordFromJson(it));
-  bool whole =
+  bool isComplete =
       records.empty() ||
       records.back().At == target::positionFromJson(json.value().at("last"));
   if (!records.empty())
     Received = records.back().At;
-  later(Options.ShipLag, [self = shared_from_this(), generation, records, whole,
-                          asked] {
+  runAfter(Options.ShipLag, [self = shared_from_this(), generation, records,
+                             isComplete, requestedAt] {
     if (generation != self->Generation)
       return;
-    self->receive(records);
+    self->appendReceived(records);
     auto upTo = self->Log.size();
-    self->later(self->Options.ApplyLag, [self, generation, upTo, whole, asked] {
+    self->runAfter(self->Options.ApplyLag, [self, generation, upTo, isComplete,
+                                            requestedAt] {
       if (generation != self->Generation)
         return;
       self->applyUpTo(upTo);
-      if (whole)
-        self->CaughtUp = std::max(self->CaughtUp, asked);
+      if (isComplete)
+        self->CaughtUpAt = std::max(self->CaughtUpAt, requestedAt);
     });
   });
-  again();
+  requestAgain();
 }
 
-void Target::receive(const std::vector<Record> &records) {
+void Target::appendReceived(const std::vector<Record> &records) {
   Log.insert(Log.end(), records.begin(), records.end());
   wakeWaiters();
 }
@@ -247,7 +249,7 @@
     Store.apply(Log[Applied]);
 }
 
-void Target::dropLast() {
+void Target::dropLastRecord() {
   if (Log.empty())
     return;
   Log.pop_back();
--- a/tests/standin/target_main.cpp
+++ b/tests/standin/target_main.cpp
@@ -1,4 +1,4 @@
-// A stand-in target as a process of its own.
+// Runs a stand-in target as a process.
 
 #include "standin/target.h"
 
@@ -8,12 +8,12 @@
 #include <iostream>
 
 DEFINE_string(listen, "127.0.0.1:0", "IP number and port to listen on");
-DEFINE_uint32(connections, 16, "connections taken at once");
-DEFINE_uint32(slots, 2, "statements run at once");
-DEFINE_uint32(connect_ms, 0, "time a new connection takes");
-DEFINE_uint32(service_us, 0, "time a statement holds its slot");
+DEFINE_uint32(connections, 16, "maximum number of open connections");
+DEFINE_uint32(slots, 2, "maximum number of concurrent statements");
+DEFINE_uint32(connect_ms, 0, "time to open a connection");
+DEFINE_uint32(service_us, 0, "time a statement occupies its slot");
 DEFINE_uint32(ship_lag_ms, 0, "lag until a replica's log has a record");
-DEFINE_uint32(apply_lag_ms, 0, "lag until a replica's readers see it");
+DEFINE_uint32(apply_lag_ms, 0, "further lag until a replica's readers see it");
 DEFINE_bool(primary, false, "start as the primary of term 1");
 DEFINE_string(follow, "", "address of the primary to follow in term 1");
 
--- a/tests/standin/target_statements.cpp
+++ b/tests/standin/target_statements.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// How soon a statement that met a lock tries again.
-constexpr std::chrono::milliseconds LockRetry{1};
+/// Delay before a statement that was blocked by a lock is retried.
+constexpr std::chrono::milliseconds LockRetryDelay{1};
 
-std::string digestOf(const StatementRequest &request) {
+std::string computeDigest(const StatementRequest &request) {
   auto text = request.Sql + "\n" + target::toJson(request.Params).dump();
   unsigned char buf[EVP_MAX_MD_SIZE];
   unsigned n = 0;
@@ -33,8 +33,9 @@
     return;
   }
   Connected.insert(connection);
-  later(Options.ConnectTime,
-        [respond] { respond(jsonResponse(http::StatusOk, Json::object())); });
+  runAfter(Options.ConnectTime, [respond] {
+    respond(jsonResponse(http::StatusOk, Json::object()));
+  });
 }
 
 void Target::enqueue(const http::Request &request, const Json &body,
@@ -57,7 +58,7 @@
     if (work.Gone->load())
       continue;
     ++BusySlots;
-    later(Options.ServiceTime, [self = shared_from_this(), work] {
+    runAfter(Options.ServiceTime, [self = shared_from_this(), work] {
       --self->BusySlots;
       self->run(work);
       self->runNext();
@@ -66,11 +67,11 @@
 }
 
 void Target::run(const Work &work) {
-  auto it = answer(work);
-  // A statement that met another's lock waits for it, within its time.
+  auto it = execute(work);
+  // A statement blocked by a lock is retried until its deadline.
   if (it.Code == AnswerCode::Busy &&
       std::chrono::steady_clock::now() < work.Expires && !work.Gone->load()) {
-    later(LockRetry, [self = shared_from_this(), work] {
+    runAfter(LockRetryDelay, [self = shared_from_this(), work] {
       self->Queue.push_front(work);
       self->runNext();
     });
@@ -80,7 +81,7 @@
   work.Respond(jsonResponse(http::StatusOk, target::toJson(it)));
 }
 
-StatementAnswer Target::answer(const Work &work) {
+StatementAnswer Target::execute(const Work &work) {
   const auto &request = work.Request;
   if (std::chrono::steady_clock::now() >= work.Expires)
     return notRun(request, AnswerCode::DeadlinePassed, "deadline passed");
@@ -101,7 +102,7 @@
 }
 
 std::optional<StatementAnswer>
-Target::refuseWrite(const StatementRequest &request) {
+Target::rejectWrite(const StatementRequest &request) {
   if (request.InTerm != 0 && request.InTerm < CurrentTerm)
     return notRun(request, AnswerCode::Fenced, "a higher term is accepted");
   if (!IsPrimary || (request.InTerm != 0 && request.InTerm != CurrentTerm))
@@ -116,7 +117,7 @@
   auto stored = findKey(session, request.Key);
   if (!stored)
     return std::nullopt;
-  if (stored->Digest != digestOf(request))
+  if (stored->Digest != computeDigest(request))
     return notRun(request, AnswerCode::KeyMismatch,
                   "the key was used for another statement");
   auto it = target::answerFromJson(Json::parse(stored->Answer));
@@ -125,14 +126,14 @@
                           "the stored answer cannot be read");
   it->Id = request.Id;
   it->Replayed = true;
-  // The log's end, not the old position: what is confirmed for this answer
-  // must hold in the present term.
-  it->At = last();
+  // The log's end, not the original position: the position that is confirmed
+  // for this answer has to be of the current term.
+  it->At = lastPosition();
   return it;
 }
 
-StatementAnswer Target::done(const StatementRequest &request,
-                             const SqlResult &result) const {
+StatementAnswer Target::makeAnswer(const StatementRequest &request,
+                                   const SqlResult &result) const {
   auto it = notRun(request, AnswerCode::Ok, "");
   if (result.Busy) {
     it.Code = AnswerCode::Busy;
@@ -150,38 +151,38 @@
 }
 
 StatementAnswer Target::write(const StatementRequest &request) {
-  if (auto refused = refuseWrite(request))
-    return *refused;
+  if (auto rejected = rejectWrite(request))
+    return *rejected;
   auto &session = Store.writer();
   if (auto replayed = replay(request, session))
     return *replayed;
-  if (session.control("BEGIN IMMEDIATE").Busy)
+  if (session.runUnrestricted("BEGIN IMMEDIATE").Busy)
     return notRun(request, AnswerCode::Busy, "another transaction writes");
   LoggedStatement statement{request.Sql, request.Params};
   auto result = session.run(statement, true);
   if (!result.Error.empty()) {
-    session.control("ROLLBACK");
-    return done(request, result);
+    session.runUnrestricted("ROLLBACK");
+    return makeAnswer(request, result);
   }
-  return finish(request, session, {statement}, result);
+  return commitAndLog(request, session, {statement}, result);
 }
 
-StatementAnswer Target::finish(const StatementRequest &request,
-                               SqlSession &session,
-                               std::vector<LoggedStatement> writes,
-                               const SqlResult &result) {
-  auto it = done(request, result);
-  it.At = {CurrentTerm, last().Index + 1};
+StatementAnswer Target::commitAndLog(const StatementRequest &request,
+                                     SqlSession &session,
+                                     std::vector<LoggedStatement> writes,
+                                     const SqlResult &result) {
+  auto it = makeAnswer(request, result);
+  it.At = {CurrentTerm, lastPosition().Index + 1};
   if (!request.Key.empty()) {
-    auto key =
-        storeKey(request.Key, {digestOf(request), target::toJson(it).dump()});
+    auto key = makeKeyInsert(
+        request.Key, {computeDigest(request), target::toJson(it).dump()});
     session.run(key, true);
     writes.push_back(std::move(key));
   }
-  auto committed = session.control("COMMIT");
+  auto committed = session.runUnrestricted("COMMIT");
   if (!committed.Error.empty()) {
-    session.control("ROLLBACK");
-    return done(request, committed);
+    session.runUnrestricted("ROLLBACK");
+    return makeAnswer(request, committed);
   }
   append({it.At, std::move(writes)});
   return it;
@@ -199,20 +200,20 @@
   }
   if (request.Mode == Access::StaleRead && now.Age > request.MaxAge)
     return notRun(request, AnswerCode::Behind, "older than the tolerance");
-  auto it =
-      done(request, Store.writer().run({request.Sql, request.Params}, false));
+  auto it = makeAnswer(
+      request, Store.writer().run({request.Sql, request.Params}, false));
   it.Age = now.Age;
   return it;
 }
 
 StatementAnswer Target::begin(const Work &work) {
-  if (auto refused = refuseWrite(work.Request))
-    return *refused;
+  if (auto rejected = rejectWrite(work.Request))
+    return *rejected;
   auto session = Store.open();
-  if (session->control("BEGIN IMMEDIATE").Busy)
+  if (session->runUnrestricted("BEGIN IMMEDIATE").Busy)
     return notRun(work.Request, AnswerCode::Busy, "another transaction writes");
   Transactions[work.Connection] = {std::move(session), {}};
-  return done(work.Request, {});
+  return makeAnswer(work.Request, {});
 }
 
 StatementAnswer Target::runInTransaction(const Work &work, Transaction &it) {
@@ -222,7 +223,7 @@
     return notRun(request, AnswerCode::BadRequest, "already in a transaction");
   case Verb::Rollback:
     Transactions.erase(work.Connection);
-    return done(request, {});
+    return makeAnswer(request, {});
   case Verb::Commit:
     return commit(work, it);
   case Verb::Statement:
@@ -232,13 +233,14 @@
   auto result = it.Session->run(statement, true);
   if (result.Error.empty() && result.Writes)
     it.Writes.push_back(std::move(statement));
-  return done(request, result);
+  return makeAnswer(request, result);
 }
 
-/// A commit whose answer was lost is found under its key.
+/// Finds the answer of a commit under its key, for a caller that did not get
+/// it.
 StatementAnswer Target::findCommit(const StatementRequest &request) {
-  if (auto refused = refuseWrite(request))
-    return *refused;
+  if (auto rejected = rejectWrite(request))
+    return *rejected;
   if (auto replayed = replay(request, Store.writer()))
     return *replayed;
   return notRun(request, AnswerCode::TransactionGone, "no transaction");
@@ -249,7 +251,7 @@
   if (auto replayed = replay(work.Request, *it.Session))
     out = *replayed;
   else
-    out = finish(work.Request, *it.Session, std::move(it.Writes), {});
+    out = commitAndLog(work.Request, *it.Session, std::move(it.Writes), {});
   Transactions.erase(work.Connection);
   return out;
 }
