--- a/fuzz/caller_request_fuzz.cpp
+++ b/fuzz/caller_request_fuzz.cpp
@@ -1,5 +1,5 @@
-// A caller's request: the path, the headers and the body, a line each up to
-// the body.
+// Fuzzes the parser of callers' requests. Input: method, path and headers, a
+// line each, an empty line and the body.
 
 #include "daemon/caller_api.h"
 #include "fuzz.h"
--- a/fuzz/caller_wire_fuzz.cpp
+++ b/fuzz/caller_wire_fuzz.cpp
@@ -1,4 +1,4 @@
-// Lines of a caller on the users' platform.
+// Fuzzes the parser of a caller's lines in the platform's protocol.
 
 #include "fuzz.h"
 #include "wire.h"
@@ -17,7 +17,7 @@
     if (!statement)
       continue;
     require(!statement->Id.empty());
-    // What is passed on is one line, and the one that came.
+    // The forwarded statement must be one line.
     auto out = adapter::formatStatement(*statement);
     require(out.find("\r\n") == out.size() - 2);
   }
--- a/fuzz/configuration_fuzz.cpp
+++ b/fuzz/configuration_fuzz.cpp
@@ -1,4 +1,4 @@
-// A configuration, from the platform.
+// Fuzzes the parser of a stored configuration.
 
 #include "fuzz.h"
 #include "peridotfall/configuration.h"
--- a/fuzz/entries_fuzz.cpp
+++ b/fuzz/entries_fuzz.cpp
@@ -1,4 +1,5 @@
-// Objects of the platform's store: targets, configuration, daemons, duty.
+// Fuzzes the parsers of the platform's stored objects: targets, configuration,
+// daemons, failover leadership.
 
 #include "entries.h"
 #include "fuzz.h"
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a fuzz target gives to the driver.
+/// Interface between a fuzz target and the driver.
 
 #ifndef PERIDOTFALL_FUZZ_FUZZ_H
 #define PERIDOTFALL_FUZZ_FUZZ_H
@@ -9,11 +9,12 @@
 
 namespace peridotfall::fuzz {
 
-/// Feeds one input to the parser. Ends the process where a property fails.
+/// Defined by each fuzz target. Feeds one input to the parser. Aborts the
+/// process if a property is violated.
 void runOne(const std::string &bytes);
 
-inline void require(bool holds) {
-  if (!holds)
+inline void require(bool condition) {
+  if (!condition)
     std::abort();
 }
 
--- a/fuzz/inner_fuzz.cpp
+++ b/fuzz/inner_fuzz.cpp
@@ -1,4 +1,5 @@
-// Messages between daemons: the first byte chooses the kind.
+// Fuzzes the decoders of messages between daemons. The first byte of the input
+// selects the message.
 
 #include "fuzz.h"
 #include "messages/inner.h"
@@ -9,16 +10,16 @@
 
 namespace {
 
-template <class T> void checkAgain(const T &it, Result<T> again) {
+template <class T> void checkRoundTrip(const T &it, Result<T> again) {
   fuzz::require(again.has_value());
-  // A value that is no number equals nothing, itself included.
+  // Compares encodings because NaN does not equal itself.
   fuzz::require(messages::encode(again.value()) == messages::encode(it));
 }
 
 } // namespace
 
 void fuzz::runOne(const std::string &bytes) {
-  // The library's own lines for malformed text would fill the log.
+  // Protobuf logs a line for each malformed message.
   static auto *const Quiet = google::protobuf::SetLogHandler(nullptr);
   (void)Quiet;
   if (bytes.empty())
@@ -27,17 +28,17 @@
   if (bytes[0] == 'q') {
     auto it = messages::decodeStatementRequest(message);
     if (it)
-      checkAgain(it.value(), messages::decodeStatementRequest(
-                                 messages::encode(it.value())));
+      checkRoundTrip(it.value(), messages::decodeStatementRequest(
+                                     messages::encode(it.value())));
   } else if (bytes[0] == 'a') {
     auto it = messages::decodeStatementAnswer(message);
     if (it)
-      checkAgain(it.value(),
-                 messages::decodeStatementAnswer(messages::encode(it.value())));
+      checkRoundTrip(it.value(), messages::decodeStatementAnswer(
+                                     messages::encode(it.value())));
   } else {
     auto it = messages::decodePeerInfo(message);
     if (it)
-      checkAgain(it.value(),
-                 messages::decodePeerInfo(messages::encode(it.value())));
+      checkRoundTrip(it.value(),
+                     messages::decodePeerInfo(messages::encode(it.value())));
   }
 }
--- a/fuzz/lease_fuzz.cpp
+++ b/fuzz/lease_fuzz.cpp
@@ -1,4 +1,5 @@
-// Messages between daemons about leases, sights of a primary and copies.
+// Fuzzes the decoders of messages between daemons about leases, leader queries
+// and snapshots of stored objects.
 
 #include "fuzz.h"
 #include "messages/copy.h"
@@ -8,7 +9,7 @@
 
 namespace {
 
-/// What was understood is written and understood again alike.
+/// A decoded message must be decodable again after encoding.
 template <class Decode>
 void checkRoundTrip(const std::string &bytes, Decode decode) {
   auto it = decode(bytes);
@@ -16,8 +17,8 @@
     fuzz::require(decode(messages::encode(it.value())).has_value());
 }
 
-/// Holds one text under every name and revision.
-const std::string *findHeld(const messages::HeldObject &) {
+/// Has the same text for every name and revision.
+const std::string *findCached(const messages::HeldObject &) {
   static const std::string Text(1'000, 'x');
   return &Text;
 }
@@ -34,9 +35,9 @@
   checkRoundTrip(bytes, messages::decodeCopyRequest);
   checkRoundTrip(bytes, messages::decodeWatchRequest);
   checkRoundTrip(bytes, [](const std::string &it) {
-    return messages::decodeCopyAnswer(it, findHeld);
+    return messages::decodeCopyAnswer(it, findCached);
   });
   checkRoundTrip(bytes, [](const std::string &it) {
-    return messages::decodeWatchAnswer(it, findHeld);
+    return messages::decodeWatchAnswer(it, findCached);
   });
 }
--- a/fuzz/platform_settings_fuzz.cpp
+++ b/fuzz/platform_settings_fuzz.cpp
@@ -1,4 +1,4 @@
-// The settings file that the users' platform writes.
+// Fuzzes the parser of the settings file that the platform writes.
 
 #include "fuzz.h"
 #include "settings.h"
--- a/fuzz/questionnaire_fuzz.cpp
+++ b/fuzz/questionnaire_fuzz.cpp
@@ -1,4 +1,4 @@
-// A file of answers, from an operator.
+// Fuzzes the parser of an operator's questionnaire answers.
 
 #include "fuzz.h"
 #include "peridotfall/questionnaire.h"
--- a/fuzz/target_wire_fuzz.cpp
+++ b/fuzz/target_wire_fuzz.cpp
@@ -1,4 +1,4 @@
-// Lines of a target on the users' platform.
+// Fuzzes the parser of a target's lines in the platform's protocol.
 
 #include "fuzz.h"
 #include "wire.h"
--- a/fuzz/token_fuzz.cpp
+++ b/fuzz/token_fuzz.cpp
@@ -1,4 +1,4 @@
-// A session token, from a caller's header.
+// Fuzzes the verification of a session token from a caller's header.
 
 #include "fuzz.h"
 #include "peridotfall/session_token.h"
--- a/tools/demo_caller.cpp
+++ b/tools/demo_caller.cpp
@@ -1,6 +1,6 @@
-// Callers of the demo: roaming sessions that place orders, read their own
-// order back through another daemon, and look things up. At the end every
-// order is looked for at the primary and the promises are counted.
+// Workload of the demo: sessions that send each request to a random daemon,
+// place orders, read their own order back and run lookups. At the end it counts
+// every order at the primary and checks the guarantees to callers.
 
 #include "base/document.h"
 #include "http/channel.h"
@@ -26,13 +26,14 @@
 
 DEFINE_string(entries, "", "addresses of entry daemons, comma separated");
 DEFINE_string(database, "orders-shop", "database");
-DEFINE_uint32(sessions, 20, "sessions at once");
-DEFINE_uint32(seconds, 10, "how long orders are placed");
+DEFINE_uint32(sessions, 20, "number of concurrent sessions");
+DEFINE_uint32(seconds, 10, "how long to place orders");
 DEFINE_uint32(lookups, 8, "lookups after each order");
-DEFINE_uint32(think_ms, 5, "pause of a session between requests");
-DEFINE_uint64(seed, 1, "seed of the sessions' choices");
-DEFINE_string(kill_file, "",
-              "file that holds the primary's death, in ms since the epoch");
+DEFINE_uint32(think_ms, 5, "pause of a session before each lookup");
+DEFINE_uint64(seed, 1, "seed for the choice of daemons");
+DEFINE_string(
+    kill_file, "",
+    "file with the time of the primary's failure, in ms since the epoch");
 
 namespace {
 
@@ -42,10 +43,12 @@
 
 constexpr milliseconds RequestDeadline{4'000};
 constexpr milliseconds RetryPause{50};
-/// Lookups may be old; before this they might not see the table at all.
-constexpr milliseconds ReplicasCatchUp{500};
+/// Time for replicas to get the table: lookups are stale reads, and would fail
+/// without it.
+constexpr milliseconds ReplicationTime{500};
 constexpr auto CountMark = "count-mark";
-constexpr milliseconds LastWait{20'000};
+/// Time to create the table, and for retries after the last order.
+constexpr milliseconds RetryTimeout{20'000};
 
 std::int64_t nowMs() {
   return std::chrono::duration_cast<milliseconds>(
@@ -56,14 +59,15 @@
 struct Counts {
   std::uint64_t Acknowledged = 0;
   std::uint64_t OwnReads = 0;
-  std::uint64_t OwnSeen = 0;
+  std::uint64_t OwnFound = 0;
   std::uint64_t Reads = 0;
   std::uint64_t ReplicaReads = 0;
   std::uint64_t Retries = 0;
 };
 
-/// When a write was begun and acknowledged, in ms since the epoch.
-struct Ack {
+/// Times at which a write was sent first and acknowledged, in ms since the
+/// epoch.
+struct AckTimes {
   std::int64_t Begun = 0;
   std::int64_t Done = 0;
 };
@@ -73,9 +77,9 @@
   Json Body;
 };
 
-class Load : public std::enable_shared_from_this<Load> {
+class Workload : public std::enable_shared_from_this<Workload> {
 public:
-  Load(asio::io_context &loop, const std::vector<std::string> &entries)
+  Workload(asio::io_context &loop, const std::vector<std::string> &entries)
       : Loop(loop), Random(FLAGS_seed) {
     for (const auto &it : entries)
       Entries.push_back(
@@ -90,7 +94,7 @@
 
   Counts Total;
   std::vector<std::string> Placed;
-  std::vector<Ack> Acks;
+  std::vector<AckTimes> Acks;
   std::map<std::string, int> Found;
 
 private:
@@ -110,10 +114,11 @@
   void lookUp(const SessionPtr &it);
   void countOrders(const std::function<void()> &then);
   void pause(milliseconds wait, std::function<void()> then);
-  /// Sends until it is done, through any daemon, with the same key.
+  /// Sends the request to a random daemon, and retries with the same key until
+  /// it is done, is rejected or times out.
   void send(const SessionPtr &it, const Json &body, const std::string &key,
             OnAnswer done);
-  bool over() const { return nowMs() >= End; }
+  bool isOver() const { return nowMs() >= End; }
 
   asio::io_context &Loop;
   std::vector<std::shared_ptr<http::Channel>> Entries;
@@ -123,7 +128,7 @@
   std::promise<void> Finished;
 };
 
-void Load::pause(milliseconds wait, std::function<void()> then) {
+void Workload::pause(milliseconds wait, std::function<void()> then) {
   auto timer = std::make_shared<asio::steady_timer>(Loop, wait);
   timer->async_wait([timer, then = std::move(then)](std::error_code ec) {
     if (!ec)
@@ -131,8 +136,8 @@
   });
 }
 
-void Load::send(const SessionPtr &it, const Json &body, const std::string &key,
-                OnAnswer done) {
+void Workload::send(const SessionPtr &it, const Json &body,
+                    const std::string &key, OnAnswer done) {
   http::Request request;
   request.Method = "POST";
   request.Path = fmt::format("/v1/databases/{}/statements", FLAGS_database);
@@ -158,14 +163,14 @@
             return;
           }
           if (result.value().Status == 400 || result.value().Status == 422) {
-            std::cerr << "refused: " << result.value().Body << "\n";
+            std::cerr << "rejected: " << result.value().Body << "\n";
             done({false, {}});
             return;
           }
         }
         ++self->Total.Retries;
-        if (nowMs() > self->End + LastWait.count()) {
-          std::cerr << "given up: "
+        if (nowMs() > self->End + RetryTimeout.count()) {
+          std::cerr << "timed out: "
                     << (result ? result.value().Body : result.error().Message)
                     << "\n";
           done({false, {}});
@@ -177,7 +182,7 @@
       });
 }
 
-void Load::createTable(const std::function<void()> &then) {
+void Workload::createTable(const std::function<void()> &then) {
   auto it = std::make_shared<Session>();
   send(it,
        {{"kind", "schema"},
@@ -185,8 +190,8 @@
        "demo-schema", [then](const Answer &) { then(); });
 }
 
-void Load::placeOrder(const SessionPtr &it) {
-  if (over()) {
+void Workload::placeOrder(const SessionPtr &it) {
+  if (isOver()) {
     if (--Running == 0)
       Finished.set_value();
     return;
@@ -210,7 +215,7 @@
        });
 }
 
-void Load::readBack(const SessionPtr &it, const std::string &ref) {
+void Workload::readBack(const SessionPtr &it, const std::string &ref) {
   send(it,
        {{"kind", "order-status"},
         {"sql", "SELECT count(*) FROM orders WHERE ref = ?"},
@@ -220,7 +225,7 @@
            ++self->Total.OwnReads;
            ++self->Total.Reads;
            if (answer.Body["rows"][0][0] == 1)
-             ++self->Total.OwnSeen;
+             ++self->Total.OwnFound;
            if (answer.Body.value("servedBy", "") != it->Primary)
              ++self->Total.ReplicaReads;
          }
@@ -229,7 +234,7 @@
        });
 }
 
-void Load::lookUp(const SessionPtr &it) {
+void Workload::lookUp(const SessionPtr &it) {
   if (it->LookupsLeft == 0) {
     placeOrder(it);
     return;
@@ -250,12 +255,12 @@
   });
 }
 
-void Load::run() {
+void Workload::run() {
   auto self = shared_from_this();
   asio::post(Loop, [self] {
-    self->End = nowMs() + LastWait.count();
+    self->End = nowMs() + RetryTimeout.count();
     self->createTable([self] {
-      self->pause(ReplicasCatchUp, [self] {
+      self->pause(ReplicationTime, [self] {
         self->End = nowMs() + std::int64_t{FLAGS_seconds} * 1'000;
         self->Running = FLAGS_sessions;
         for (std::size_t n = 0; n < FLAGS_sessions; ++n) {
@@ -275,10 +280,10 @@
   counted.get_future().wait();
 }
 
-/// The count's own write comes after all others in the log, so a read of the
-/// same session sees every order; without it a replica that lags would answer
-/// without the last ones.
-void Load::countOrders(const std::function<void()> &then) {
+/// Writes a row first, which comes after all others in the log, so that a read
+/// of the same session sees every order. Without it a lagging replica would
+/// answer without the last orders.
+void Workload::countOrders(const std::function<void()> &then) {
   auto it = std::make_shared<Session>();
   auto read = [self = shared_from_this(), it, then](const Answer &) {
     self->send(it,
@@ -299,50 +304,50 @@
        CountMark, read);
 }
 
-/// \return ms from the primary's death to the next acknowledged write, or -1.
-std::int64_t failoverGap(const std::vector<Ack> &acks) {
+/// \return ms from the primary's failure to the next acknowledged write, or -1.
+std::int64_t failoverGap(const std::vector<AckTimes> &acks) {
   std::ifstream in(FLAGS_kill_file);
-  std::int64_t killed = 0;
-  if (FLAGS_kill_file.empty() || !(in >> killed))
+  std::int64_t failedAt = 0;
+  if (FLAGS_kill_file.empty() || !(in >> failedAt))
     return -1;
-  // A write begun before the death may have been acknowledged by the old
-  // primary; only one begun after it is sure to be the next one's.
+  // A write sent before the failure may have been acknowledged by the old
+  // primary; one sent after it was acknowledged by the new one.
   std::int64_t gap = -1;
   for (const auto &it : acks)
-    if (it.Begun > killed)
-      gap = gap < 0 ? it.Done - killed : std::min(gap, it.Done - killed);
+    if (it.Begun > failedAt)
+      gap = gap < 0 ? it.Done - failedAt : std::min(gap, it.Done - failedAt);
   return gap;
 }
 
-int report(const Load &load) {
+int report(const Workload &workload) {
   std::uint64_t once = 0;
-  std::uint64_t doubled = 0;
-  for (const auto &[ref, n] : load.Found) {
+  std::uint64_t duplicated = 0;
+  for (const auto &[ref, n] : workload.Found) {
     once += n == 1;
-    doubled += n > 1;
+    duplicated += n > 1;
   }
   std::uint64_t lost = 0;
-  for (const auto &it : load.Placed)
-    lost += load.Found.count(it) == 0;
-  const auto &total = load.Total;
-  // An order given up on has an unknown outcome and is not counted as lost.
-  auto open = load.Placed.size() - total.Acknowledged;
-  lost = lost > open ? lost - open : 0;
+  for (const auto &it : workload.Placed)
+    lost += workload.Found.count(it) == 0;
+  const auto &total = workload.Total;
+  // An order that timed out has an unknown outcome and does not count as lost.
+  auto unacknowledged = workload.Placed.size() - total.Acknowledged;
+  lost = lost > unacknowledged ? lost - unacknowledged : 0;
   fmt::print(
       "orders acknowledged {} found exactly once {} doubled {} lost {}\n",
-      total.Acknowledged, once, doubled, lost);
+      total.Acknowledged, once, duplicated, lost);
   fmt::print("reads that must see the own write {} did {}\n", total.OwnReads,
-             total.OwnSeen);
+             total.OwnFound);
   fmt::print("share of reads served by replicas {:.3f} of {}\n",
              total.Reads == 0 ? 0.0
                               : static_cast<double>(total.ReplicaReads) /
                                     static_cast<double>(total.Reads),
              total.Reads);
-  auto gap = failoverGap(load.Acks);
+  auto gap = failoverGap(workload.Acks);
   if (!FLAGS_kill_file.empty())
     fmt::print("failover gap {} ms\n", gap);
-  bool kept = total.Acknowledged > 0 && doubled == 0 && lost == 0 &&
-              total.OwnReads == total.OwnSeen && open == 0 &&
+  bool kept = total.Acknowledged > 0 && duplicated == 0 && lost == 0 &&
+              total.OwnReads == total.OwnFound && unacknowledged == 0 &&
               (FLAGS_kill_file.empty() || gap >= 0);
   fmt::print("promises {}\n", kept ? "kept" : "BROKEN");
   return kept ? 0 : 1;
@@ -361,8 +366,8 @@
     return 2;
   }
   http::Loops loops(1);
-  auto load = std::make_shared<Load>(loops.at(0), entries);
-  load->run();
-  load->close();
-  return report(*load);
+  auto workload = std::make_shared<Workload>(loops.at(0), entries);
+  workload->run();
+  workload->close();
+  return report(*workload);
 }
--- a/tools/fuzz_corpus.cpp
+++ b/tools/fuzz_corpus.cpp
@@ -1,4 +1,5 @@
-// Writes the well-formed inputs of fuzz/corpus. Usage: fuzz_corpus FOLDER
+// Writes valid seed inputs of fuzz/corpus.
+// Usage: fuzz_corpus FOLDER
 
 #include "messages/inner.h"
 #include "peridotfall/configuration.h"
--- a/tools/lease_corpus.cpp
+++ b/tools/lease_corpus.cpp
@@ -1,5 +1,5 @@
-// Writes the well-formed inputs of fuzz/corpus/lease. Usage: lease_corpus
-// FOLDER
+// Writes valid seed inputs of fuzz/corpus/lease.
+// Usage: lease_corpus FOLDER
 
 #include "messages/copy.h"
 #include "messages/lease.h"
