--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the release and runs one measurement.
-# Usage: scripts/bench.sh NAME [ARGUMENT...]; NAME of bench/NAME_bench.cpp.
+# Builds the release preset and runs bench/NAME_bench.cpp.
+# Usage: scripts/bench.sh NAME [ARGUMENT...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 name=${1:?usage: scripts/bench.sh NAME [ARGUMENT...]}
--- a/scripts/check-api.sh
+++ b/scripts/check-api.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the curl lines of docs/API.md as they stand, in order, against a whole
-# system. A line that ends with grep must find its text; any other must be
-# answered "done".
+# Runs the curl lines of docs/API.md unchanged and in order against a complete
+# system. A line that ends with grep has to match; any other has to get the
+# outcome "done".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/system.sh
@@ -10,19 +10,19 @@
 API=http://127.0.0.1:7431/v1/databases/orders-shop
 OTHER=http://127.0.0.1:7433/v1/databases/orders-shop
 CURL="curl -s --max-time 10 --http2-prior-knowledge"
-# Writes are possible once an owner has found the primary.
-await sh -c "$CURL $API/statements -d '{\"kind\":\"order-status\",\"sql\":\"SELECT 1\"}' | grep -q done"
+# Writes can succeed only once an owner has found the primary.
+wait_until sh -c "$CURL $API/statements -d '{\"kind\":\"order-status\",\"sql\":\"SELECT 1\"}' | grep -q done"
 n=0
 while IFS= read -r line; do
   out=$(mktemp)
   if ! eval "$line" >"$out"; then
-    echo "failed: $line" >&2
+    echo "command failed: $line" >&2
     exit 1
   fi
   case $line in
-  *=\$*) ;; # Sets a variable.
+  *=\$*) ;; # Assigns a variable.
   *grep*) ;;
-  *) grep -q '"outcome":"done"' "$out" || { echo "not done: $line" >&2; cat "$out" >&2; exit 1; } ;;
+  *) grep -q '"outcome":"done"' "$out" || { echo "outcome is not done: $line" >&2; cat "$out" >&2; exit 1; } ;;
   esac
   rm -f "$out"
   n=$((n + 1))
--- a/scripts/check-capacity.py
+++ b/scripts/check-capacity.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Checks that the tables of docs/CAPACITY.md follow from the measurement.
+"""Checks that the tables of docs/CAPACITY.md match the measurement.
 
 Usage: scripts/check-capacity.py [--write]
 
-The tables stand between <!-- NAME: begin --> and <!-- NAME: end -->. They are
-worked out here from bench/results/slopes.json and the size in the letter;
---write puts them into the page, and without it a difference is an error.
+The tables are between <!-- NAME: begin --> and <!-- NAME: end -->. They are
+computed from bench/results/slopes.json and the fleet size below; --write
+updates the page, and without it a difference is an error.
 """
 
 import json
@@ -17,7 +17,7 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 RESULTS = ROOT / "bench" / "results" / "slopes.json"
 
-# The size in the users' letter.
+# Required fleet size.
 NODES = 1_700
 DATABASES = 2_800
 CONNECTIONS = 13_000_000
@@ -28,31 +28,32 @@
 DAY = 86_400
 TARGETS = 3 * DATABASES
 
-# What control may take on a node, and what the platform gives everyone.
+# Limits: control traffic per node (share of a core, bytes, bytes/s), and the
+# platform for the whole fleet (reads/s, bytes per value).
 CORE_SHARE = 0.013
 MEMORY = 256e6
 BYTES_A_SECOND = 11e3
 PLATFORM_READS = 2_000
 PLATFORM_VALUE = 1e6
 
-# How often things are done, from the settings and the design.
+# Rates, from the default settings and the design.
 PROBES_A_SECOND = 1_000 / 150  # --probe_ms, its default
-LISTS_A_SECOND = 1  # list of VMs
-WATCH_SECONDS = 10
-PEERS_A_SECOND = 0.5  # the design's comparison of revisions, every 2 s
-WATCHERS_A_DOMAIN = 2  # the design's watches
+LISTS_A_SECOND = 1  # requests for the list of VMs
+WATCH_SECONDS = 10  # how long a watch waits
+PEERS_A_SECOND = 0.5  # comparison of revisions with a peer, as designed
+WATCHERS_A_DOMAIN = 2  # daemons that watch the platform, as designed
 
 OWNED = TARGETS / NODES
 PROBED = 3 * OWNED
 STATEMENTS_A_NODE = STATEMENTS / NODES
 CONNECTIONS_A_NODE = CONNECTIONS / NODES
 CHANGES_A_SECOND = CHANGES_A_DAY / DAY
-# A VM leaves the list and comes back.
+# Each start removes a VM from the list and adds it again.
 MEMBER_CHANGES_A_SECOND = 2 * STARTS_A_DAY / DAY
 
 
 def number(value):
-    """Three digits, in a form that reads well."""
+    """Formats a value with three significant digits."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -62,12 +63,12 @@
 
 
 def share(value):
-    """A share of a core."""
+    """Formats a ratio as a percentage."""
     return f"{number(100 * value)}%"
 
 
 def verdict(used, limit):
-    """Whether it fits, and the factor by which."""
+    """Tells whether a use is within its limit, and by which factor."""
     factor = used / limit
     return f"misses {number(factor)}-fold" if factor > 1 else f"fits, {share(factor)} of it"
 
@@ -90,7 +91,7 @@
         return self.series[name]["slope"]
 
     def bound(self, name):
-        """Slope with three standard errors: for a slope near nothing."""
+        """Upper bound of a slope near zero: three standard errors above it."""
         it = self.series[name]
         return max(it["slope"], 0) + 3 * it["slopeStandardError"]
 
@@ -182,7 +183,7 @@
 
 
 def parts(m):
-    """Each part of a role: processor share, bytes a second, memory."""
+    """Cost of each part: share of a core, bytes a second, bytes of memory."""
     rank = m.at("rankUs", NODES)
     document = m.slope("changeBytes") * DATABASES
     probes = PROBED * PROBES_A_SECOND
@@ -349,7 +350,7 @@
         pattern = re.compile(re.escape(begin) + ".*?" + re.escape(end), re.S)
         found = pattern.findall(page)
         if len(found) != 1:
-            print(f"docs/CAPACITY.md: block {name} stands {len(found)} times")
+            print(f"docs/CAPACITY.md: block {name} found {len(found)} times, not once")
             return 1
         if found[0] != wanted:
             wrong.append(name)
@@ -357,10 +358,10 @@
     if "--write" in sys.argv[1:]:
         PAGE.write_text(page)
     elif wrong:
-        print("docs/CAPACITY.md does not follow from bench/results/slopes.json:"
+        print("docs/CAPACITY.md does not match bench/results/slopes.json:"
               f" {', '.join(wrong)}; see scripts/check-capacity.py --write")
         return 1
-    print(f"docs/CAPACITY.md: {len(BLOCKS)} tables follow from the measurement")
+    print(f"docs/CAPACITY.md: {len(BLOCKS)} tables match the measurement")
     return 0
 
 
--- a/scripts/check-docs.sh
+++ b/scripts/check-docs.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the pages that are made from code or measurements.
+# Checks the pages that are generated from code or measurements.
 # Usage: scripts/check-docs.sh [--write]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -12,7 +12,7 @@
 if [ "${1:-}" = --write ]; then
   cp "$page" docs/EVENTS.md
 elif ! diff -u docs/EVENTS.md "$page"; then
-  echo "docs/EVENTS.md is not that of src/telemetry/events.def;" \
+  echo "docs/EVENTS.md does not match src/telemetry/events.def;" \
     "see scripts/check-docs.sh --write"
   exit 1
 fi
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs the whole system as processes on this machine (scripts/system.sh).
-# Places orders in roaming sessions while it kills one daemon and then the
-# primary. Ends what it started; exits non-zero where a promise broke.
-# Usage: scripts/demo.sh [SECONDS]; KEEP=FOLDER keeps the logs there.
+# Runs a complete system as local processes (scripts/system.sh). Sessions that
+# switch daemons place orders while the script kills one daemon and then the
+# primary. Ends all its processes; exits non-zero if a guarantee was violated.
+# Usage: scripts/demo.sh [SECONDS]; KEEP=FOLDER copies the logs there.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/system.sh
@@ -11,8 +11,8 @@
 start_system
 start_callers "$seconds"
 sleep $((seconds / 4))
-kill_part depot-1
+kill_process depot-1
 sleep $((seconds / 4))
 date +%s%3N >"$work/killed"
-kill_part press
+kill_process press
 end_callers
--- a/scripts/embed.sh
+++ b/scripts/embed.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Installs the library into a temporary folder, builds examples/embed against
-# the installed copy alone, and runs it.
+# only the installed library, and runs it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Feeds a fixed number of inputs to each parser of bytes from outside, under
-# the address and undefined-behaviour sanitizers.
+# Fuzzes each parser of external input with a fixed number of inputs, under the
+# address and undefined-behaviour sanitizers.
 # Usage: scripts/fuzz.sh [COUNT [SEED]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -15,7 +15,7 @@
   cmake --build $build --target "${name}_fuzz" -- --quiet
   echo "$name, seed $seed:"
   if ! $build/"${name}_fuzz" "fuzz/corpus/$name" "$seed" "$count" "$failing"; then
-    echo "failed on (base64; keep it in fuzz/corpus/$name):"
+    echo "failing input (base64; add it to fuzz/corpus/$name):"
     base64 "$failing"
     exit 1
   fi
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format and lint, as CI runs them. Usage: scripts/lint.sh [--changed]
+# Checks format and lint as in CI. Usage: scripts/lint.sh [--changed]
 # --changed: only files that differ from main.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -12,7 +12,7 @@
 fi
 
 files '*.h' '*.cpp' | xargs -r clang-format --dry-run --Werror
-# The example builds against the installed library, not in this build.
+# The example builds against the installed library, outside this build.
 files '*.cpp' | grep -v '^examples/' | xargs -r -P "$(nproc)" -n 1 \
   clang-tidy -p $build --quiet 2> >(grep -v 'warnings generated' >&2)
 echo "format and lint: clean"
--- a/scripts/platform-run.sh
+++ b/scripts/platform-run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs three daemons on a stand-in of the users' platform, with a crash of the
-# primary, an outage of the store, a graceful stop and a kill; checks what
-# callers see. Usage: scripts/platform-run.sh [SECONDS [SEED]]
+# primary, an outage of the store, a graceful stop and a kill; checks the
+# callers' results. Usage: scripts/platform-run.sh [SECONDS [SEED]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 preset=${PRESET:-release}
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Long random runs in virtual time, with the checker of the callers' view.
+# Long random runs in virtual time, with a checker of the callers' results.
 # Usage: scripts/soak.sh [--seed N] [--seconds S] [--seeds A..B]
-# Ends with "operations N, faults N, failovers N, violations N"; the exit code
-# is not 0 where there is a violation. The same seed gives the same output.
+# Ends with "operations N, faults N, failovers N, violations N". Exits non-zero
+# on a violation. The same seed gives the same output.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 args=()
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,14 +1,14 @@
-# Sourced by the scripts that run the whole system as processes: a stand-in
+# Sourced by the scripts that run a complete system as processes: a stand-in
 # platform, three stand-in targets of one database, an entry daemon in each of
 # three failure domains, with the addresses of examples/lendleht.json.
-# Everything started is ended when the script exits.
+# All its processes are ended when the script exits.
 
 preset=${PRESET:-release}
 bin=build/$preset
 work=$(mktemp -d)
 platform=127.0.0.1:7400
 entries=127.0.0.1:7431,127.0.0.1:7432,127.0.0.1:7433
-declare -A pid # Process by name: platform, press, press-1, ...
+declare -A pid # Process ID by name: platform, press, press-1, ...
 
 build_system() {
   cmake --preset "$preset" >/dev/null
@@ -24,14 +24,14 @@
 }
 trap end_system EXIT
 
-# Waits until a command succeeds.
-await() {
+# Retries a command until it succeeds, 100 times at 0.1 s.
+wait_until() {
   for _ in $(seq 100); do "$@" >/dev/null 2>&1 && return 0; sleep 0.1; done
-  echo "never: $*" >&2
+  echo "timed out waiting for: $*" >&2
   return 1
 }
 
-ask() { curl -sf --max-time 5 --http2-prior-knowledge "$@"; }
+request() { curl -sf --max-time 5 --http2-prior-knowledge "$@"; }
 
 # start NAME PROGRAM ARGUMENT...
 start() {
@@ -41,7 +41,7 @@
   pid[$name]=$!
 }
 
-# target NAME PORT ARGUMENT...: sizes of the brief, 2 slots, 16 connections.
+# target NAME PORT ARGUMENT...: 2 slots and 16 connections, as the brief has.
 target() {
   local name=$1 port=$2
   shift 2
@@ -61,8 +61,8 @@
   target press 7411 --primary
   target depot 7412 --follow 127.0.0.1:7411 --ship_lag_ms 2 --apply_lag_ms 50
   target desk 7413 --follow 127.0.0.1:7411 --ship_lag_ms 8 --apply_lag_ms 150
-  await ask http://$platform/control -d '{}'
-  ask http://$platform/control -d '{"vms":[
+  wait_until request http://$platform/control -d '{}'
+  request http://$platform/control -d '{"vms":[
     {"vm":"press-1","domain":"tartu-press","region":"tartu","address":"127.0.0.1:7421"},
     {"vm":"depot-1","domain":"tartu-depot","region":"tartu","address":"127.0.0.1:7422"},
     {"vm":"desk-1","domain":"tallinn-desk","region":"tallinn","address":"127.0.0.1:7423"}]}' >/dev/null
@@ -73,23 +73,23 @@
   daemon desk-1 tallinn-desk tallinn 3
   $bin/peridotfall questionnaire apply examples/lendleht.json \
     --platform $platform --operator_name demo
-  for n in 1 2 3; do await ask http://127.0.0.1:743$n/readyz; done
+  for n in 1 2 3; do wait_until request http://127.0.0.1:743$n/readyz; done
 }
 
-# Kills a process and says so.
-kill_part() {
+# Kills a process and prints its name.
+kill_process() {
   kill -9 "${pid[$1]}"
   wait "${pid[$1]}" 2>/dev/null || true
   echo "killed $1"
 }
 
-# Roaming sessions in the background; their report goes to $work/report.
+# Starts the callers in the background. Their report goes to $work/callers.
 start_callers() { # SECONDS
   start callers $bin/demo_caller --entries $entries --seconds "$1" \
     --kill_file "$work/killed"
 }
 
-# Waits for the callers and prints their report. Returns theirs.
+# Waits for the callers and prints their report. Returns their exit code.
 end_callers() {
   local result=0
   wait "${pid[callers]}" || result=$?
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds and passes all tests. Usage: scripts/test.sh [PRESET...]
+# Builds and runs all tests. Usage: scripts/test.sh [PRESET...]
 # Presets: debug (address and undefined-behaviour sanitizers), tsan, release.
 set -euo pipefail
 cd "$(dirname "$0")/.."
