--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -52,7 +52,7 @@
     "  --help, --version\n"
     "\n"
     "exit codes\n"
-    "  0 done   1 refused or failed   2 wrong arguments or files\n"
+    "  0 done   1 rejected or failed   2 wrong arguments or files\n"
     "  3 another operator was first   4 not reachable, nothing done\n"
     "  5 outcome unknown\n";
 
--- a/tests/standin/target.h
+++ b/tests/standin/target.h
@@ -1,7 +1,7 @@
 /// \file
 /// A minimal test double of a target of a database group: runs SQL in an
 /// in-memory SQLite database, ships its log to replicas with a lag, has terms
-/// and limited connections and slots. The log stands for a target's durable
+/// and limited connections and slots. The log represents a target's durable
 /// state; it is lost when the process ends.
 ///
 /// In addition to the protocol of src/target/wire.h it serves
--- a/tests/tool/store_test.cpp
+++ b/tests/tool/store_test.cpp
@@ -82,8 +82,9 @@
         std::string::npos);
 }
 
-// Another operator's change is stored first, and the answer to the own change
-// is lost too. The other's change must not be reported as the own one.
+// Another operator's change is stored first, and the answer to this operator's
+// change is lost too. The stored change must not be reported as this
+// operator's.
 TEST_CASE_FIXTURE(StoreFixture,
                   "apply, other change first and answer lost, is a conflict") {
   REQUIRE(apply("mari"));
