--- a/tests/standin/platform.cpp
+++ b/tests/standin/platform.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// As long as any caller's own limit: an answer that never comes.
-constexpr std::chrono::milliseconds Never{60'000};
+/// Delay of a withheld answer, at least any caller's own timeout.
+constexpr std::chrono::milliseconds NoAnswerDelay{60'000};
 
 Json toJson(const platform::Object &it) {
   return {{"version", it.Version}, {"value", it.Value}};
 }
 
-bool takePrefix(std::string &path, const std::string &prefix) {
+bool stripPrefix(std::string &path, const std::string &prefix) {
   if (path.rfind(prefix, 0) != 0)
     return false;
   path = path.substr(prefix.size());
@@ -58,8 +58,8 @@
 
 void Platform::stop() { Server->stop(); }
 
-void Platform::later(std::chrono::milliseconds delay,
-                     std::function<void()> action) {
+void Platform::runAfter(std::chrono::milliseconds delay,
+                        std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(Pool.at(0), delay);
   timer->async_wait([timer, action = std::move(action)](std::error_code ec) {
     if (!ec)
@@ -75,9 +75,9 @@
   }
   std::unique_lock guard(Lock);
   if (Down) {
-    // Silence, as from a store that is away: the caller's limit decides.
+    // No answer, as from an unreachable store: the caller has to time out.
     guard.unlock();
-    later(Never, [respond] { respond({http::StatusBad, {}, ""}); });
+    runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
     return;
   }
   ++Counts[request.Method + " " +
@@ -88,7 +88,7 @@
     serve(request, respond);
     return;
   }
-  later(delay, [self = shared_from_this(), request, respond] {
+  runAfter(delay, [self = shared_from_this(), request, respond] {
     self->serve(request, respond);
   });
 }
@@ -99,11 +99,11 @@
   if (path == "/vms") {
     std::lock_guard guard(Lock);
     respond(jsonResponse(http::StatusOk, Vms));
-  } else if (takePrefix(path, "/watch/")) {
+  } else if (stripPrefix(path, "/watch/")) {
     watch(path, queryNumber(request.Path, "after"),
           std::chrono::milliseconds(queryNumber(request.Path, "wait_ms")),
           respond);
-  } else if (!takePrefix(path, "/objects/")) {
+  } else if (!stripPrefix(path, "/objects/")) {
     respond({http::StatusNotFound, {}, ""});
   } else if (request.Method == "GET") {
     respond(get(path));
@@ -116,7 +116,9 @@
       --LoseAnswers;
     guard.unlock();
     if (lose)
-      later(Never, [respond] { respond({http::StatusBad, {}, ""}); });
+      runAfter(NoAnswerDelay, [respond] {
+        respond({http::StatusBad, {}, ""});
+      });
     else
       respond(std::move(response));
   }
@@ -165,9 +167,10 @@
       return;
     }
   }
-  // Answering a waiter twice does no harm: the second answer is dropped.
-  later(wait,
-        [self = shared_from_this(), key, respond] { respond(self->get(key)); });
+  // A waiter may be answered twice; the second answer is dropped.
+  runAfter(wait, [self = shared_from_this(), key, respond] {
+    respond(self->get(key));
+  });
 }
 
 http::Response Platform::control(const std::string &body) {
