--- a/include/peridotfall/configuration.h
+++ b/include/peridotfall/configuration.h
@@ -1,5 +1,5 @@
 /// \file
-/// The configuration in force, generated from the questionnaire.
+/// The configuration, generated from the questionnaire.
 
 #ifndef PERIDOTFALL_CONFIGURATION_H
 #define PERIDOTFALL_CONFIGURATION_H
@@ -25,21 +25,22 @@
 struct TargetConfig {
   TargetName Name;
   DomainName Domain;
-  std::string Address;     ///< IP number and port.
-  std::uint32_t Slots = 0; ///< Statements it runs at once without delay.
+  std::string Address;     ///< IP address and port.
+  std::uint32_t Slots = 0; ///< Statements it runs in parallel without delay.
   std::uint32_t Connections = 0;
 
   auto operator<=>(const TargetConfig &) const = default;
 };
 
-/// A kind of request, as the team's answers name it.
+/// A kind of request, as named in the questionnaire.
 struct KindConfig {
   KindName Name;
   Access Mode = Access::Write;
   bool Repeatable = false;
-  bool OfRecord = false; ///< Orders, approvals, payments: before lookups.
-  std::chrono::milliseconds MaxAge{}; ///< Of a stale read.
-  /// Of a request whose caller names none; 0: the service's own default.
+  bool OfRecord = false; ///< Orders, approvals, payments: run before lookups.
+  /// Age of the oldest data that a stale read may return.
+  std::chrono::milliseconds MaxAge{};
+  /// For requests that set no deadline; 0: the service's default.
   std::chrono::milliseconds Deadline{};
 
   auto operator<=>(const KindConfig &) const = default;
@@ -49,42 +50,44 @@
   DatabaseName Name;
   std::vector<TargetConfig> Targets;
   std::vector<KindConfig> Kinds;
-  std::chrono::milliseconds ConfirmLimit{1'000}; ///< Longest wait of a write
-                                                 ///< for a replica.
-  std::chrono::seconds KeyRetention{86'400};
+  /// How long a write waits for a replica's confirmation at most.
+  std::chrono::milliseconds ConfirmLimit{1'000};
+  std::chrono::seconds KeyRetention{86'400}; ///< Of idempotency keys.
 
   auto operator<=>(const DatabaseConfig &) const = default;
 };
 
 struct Configuration {
-  std::uint64_t Revision = 0; ///< Never falls at a daemon.
-  std::string Id;             ///< Of its own, to settle a lost answer.
+  std::uint64_t Revision = 0; ///< Never decreases at a daemon.
+  /// Unique. Tells whether an update was stored if its answer was lost.
+  std::string Id;
   std::string AppliedBy;
   std::vector<FailureDomain> Domains;
   std::vector<DatabaseConfig> Databases;
-  /// VMs, of daemons or of targets, that operators take out of use.
+  /// VMs of daemons or targets that operators have taken out of use.
   std::vector<VmName> Drained;
 
   auto operator<=>(const Configuration &) const = default;
 };
 
-/// \return everything wrong with the text, or the configuration.
+/// \return the configuration, or all errors in the text.
 Parsed<Configuration> parseConfiguration(const std::string &json);
 std::string writeConfiguration(const Configuration &it);
-/// \return what breaks the rules that hold between fields.
+/// Checks the rules between fields, such as unique names.
+/// \return the violations.
 Findings checkConfiguration(const Configuration &it);
 
-/// \return null where there is none.
+/// \return null if not found.
 const DatabaseConfig *findDatabase(const Configuration &it,
                                    const DatabaseName &name);
 const TargetConfig *findTarget(const DatabaseConfig &it,
                                const TargetName &name);
 const KindConfig *findKind(const DatabaseConfig &it, const KindName &name);
-/// \return whether the VM is to get no new work.
+/// \return whether the VM gets no new work.
 bool isDrained(const Configuration &it, const VmName &vm);
-/// \return whether the target is: its VM is named as the target is.
+/// The VM of a target has the target's name.
 bool isDrained(const Configuration &it, const TargetName &target);
-/// \return an empty name where the domain is not known.
+/// \return an empty name if the domain is unknown.
 RegionName regionOf(const Configuration &it, const DomainName &domain);
 
 } // namespace peridotfall
--- a/include/peridotfall/questionnaire.h
+++ b/include/peridotfall/questionnaire.h
@@ -1,6 +1,6 @@
 /// \file
-/// The questionnaire: a team's answers about its databases, from which the
-/// configuration is generated. Operators change nothing by hand.
+/// The questionnaire: a team's answers about its databases. The configuration
+/// is generated from it; operators don't edit the configuration by hand.
 
 #ifndef PERIDOTFALL_QUESTIONNAIRE_H
 #define PERIDOTFALL_QUESTIONNAIRE_H
@@ -12,8 +12,9 @@
 
 namespace peridotfall {
 
-/// \param json the file of answers. \return the configuration they lead to,
-/// without a revision, or all findings, each with its place.
+/// \param json the completed questionnaire.
+/// \return the configuration, without a revision, or all findings, each with
+/// its place in the questionnaire.
 Parsed<Configuration> generateConfiguration(const std::string &json);
 
 } // namespace peridotfall
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::uint64_t MostMilliseconds = 86'400'000;
-constexpr std::uint64_t MostSeconds = 31'536'000;
-constexpr std::size_t TargetsOfGroup = 3;
+constexpr std::uint64_t MaxDurationMs = 86'400'000;
+constexpr std::uint64_t MaxRetentionSeconds = 31'536'000;
+constexpr std::size_t TargetsPerGroup = 3;
 
-std::string at(const std::string &list, std::size_t n) {
+std::string elementPlace(const std::string &list, std::size_t n) {
   return fmt::format("{}/{}", list, n);
 }
 
@@ -47,10 +47,10 @@
   kind.Mode = readAccess(it);
   kind.Repeatable = it.flagOr("repeatable", false);
   kind.OfRecord = it.flagOr("ofRecord", false);
-  kind.MaxAge = std::chrono::milliseconds(
-      it.numberOr("maxAgeMs", 0, MostMilliseconds, 0));
-  kind.Deadline = std::chrono::milliseconds(
-      it.numberOr("deadlineMs", 0, MostMilliseconds, 0));
+  kind.MaxAge =
+      std::chrono::milliseconds(it.numberOr("maxAgeMs", 0, MaxDurationMs, 0));
+  kind.Deadline =
+      std::chrono::milliseconds(it.numberOr("deadlineMs", 0, MaxDurationMs, 0));
   it.finish();
   return kind;
 }
@@ -62,19 +62,19 @@
   database.Name = DatabaseName(it.text("name"));
   std::size_t n = 0;
   for (const auto &target : it.list("targets"))
-    database.Targets.push_back(
-        readTarget(target, at(it.placeOf("targets"), n++), "domain", findings));
+    database.Targets.push_back(readTarget(
+        target, elementPlace(it.placeOf("targets"), n++), "domain", findings));
   n = 0;
   for (const auto &kind : it.list("kinds"))
     database.Kinds.push_back(
-        readKind(kind, at(it.placeOf("kinds"), n++), findings));
+        readKind(kind, elementPlace(it.placeOf("kinds"), n++), findings));
   database.ConfirmLimit = std::chrono::milliseconds(
-      it.numberOr("confirmLimitMs", 1, MostMilliseconds,
+      it.numberOr("confirmLimitMs", 1, MaxDurationMs,
                   static_cast<std::uint64_t>(database.ConfirmLimit.count())));
   database.KeyRetention = std::chrono::seconds(
-      it.numberOr("keyRetentionS", 1, MostSeconds,
+      it.numberOr("keyRetentionS", 1, MaxRetentionSeconds,
                   static_cast<std::uint64_t>(database.KeyRetention.count())));
-  if (database.Targets.size() != TargetsOfGroup)
+  if (database.Targets.size() != TargetsPerGroup)
     it.report("targets", "three targets: two of them are a majority",
               std::to_string(database.Targets.size()));
   it.finish();
@@ -87,7 +87,7 @@
                    std::set<std::string> &addresses, Findings &findings) {
   std::size_t n = 0;
   for (const auto &it : database.Targets) {
-    auto where = at(place + "/targets", n++);
+    auto where = elementPlace(place + "/targets", n++);
     if (!it.Domain.empty() && domains.count(it.Domain) == 0)
       findings.push_back(
           {where + "/domain", "a failure domain listed", it.Domain.Value});
@@ -100,7 +100,7 @@
   std::set<KindName> kinds;
   n = 0;
   for (const auto &it : database.Kinds) {
-    auto where = at(place + "/kinds", n++);
+    auto where = elementPlace(place + "/kinds", n++);
     if (!kinds.insert(it.Name).second)
       findings.push_back({where + "/name", "a name used once", it.Name.Value});
   }
@@ -110,8 +110,8 @@
                   Findings &findings) {
   for (std::size_t n = 0; n < it.Domains.size(); ++n)
     if (!domains.insert(it.Domains[n].Name).second)
-      findings.push_back({at("/domains", n) + "/name", "a name used once",
-                          it.Domains[n].Name.Value});
+      findings.push_back({elementPlace("/domains", n) + "/name",
+                          "a name used once", it.Domains[n].Name.Value});
 }
 
 } // namespace
@@ -124,7 +124,7 @@
   std::set<TargetName> targets;
   std::set<std::string> addresses;
   for (std::size_t n = 0; n < it.Databases.size(); ++n) {
-    auto where = at("/databases", n);
+    auto where = elementPlace("/databases", n);
     if (!names.insert(it.Databases[n].Name).second)
       findings.push_back(
           {where + "/name", "a name used once", it.Databases[n].Name.Value});
@@ -181,11 +181,12 @@
   config.AppliedBy = it.textOr("appliedBy", "");
   std::size_t n = 0;
   for (const auto &domain : it.list("domains"))
-    config.Domains.push_back(readDomain(domain, at("/domains", n++), findings));
+    config.Domains.push_back(
+        readDomain(domain, elementPlace("/domains", n++), findings));
   n = 0;
   for (const auto &database : it.list("databases"))
     config.Databases.push_back(
-        readDatabase(database, at("/databases", n++), findings));
+        readDatabase(database, elementPlace("/databases", n++), findings));
   for (const auto &vm : it.listOr("drained"))
     if (vm.is_string())
       config.Drained.emplace_back(vm.get<std::string>());
--- a/src/config/fan_out.cpp
+++ b/src/config/fan_out.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-void addShare(const std::vector<Member> &domain, std::size_t at,
-              std::vector<Member> &out) {
+void addChildren(const std::vector<Member> &domain, std::size_t at,
+                 std::vector<Member> &out) {
   for (std::size_t n = 1; n <= FanOut; ++n)
     if (at * FanOut + n < domain.size())
       out.push_back(domain[at * FanOut + n]);
@@ -31,7 +31,7 @@
   return ahead < WatchersOfDomain;
 }
 
-TreeOrder arrange(const std::vector<Member> &live, const Tree &tree) {
+RelayTreeOrder arrange(const std::vector<Member> &live, const RelayTree &tree) {
   std::map<DomainName, std::vector<std::pair<std::uint64_t, const Member *>>>
       ranked;
   for (const auto &it : live)
@@ -39,7 +39,7 @@
       ranked[it.Domain].emplace_back(
           it.Vm == tree.Root ? 0 : stableHash(it.Vm.Value, tree.Root.Value) | 1,
           &it);
-  TreeOrder order;
+  RelayTreeOrder order;
   for (auto &[domain, members] : ranked) {
     std::sort(members.begin(), members.end(), [](const auto &a, const auto &b) {
       return std::tie(a.first, a.second->Vm) < std::tie(b.first, b.second->Vm);
@@ -52,14 +52,14 @@
   return order;
 }
 
-std::vector<Member> childrenOf(const TreeOrder &order, const Tree &tree,
-                               const VmName &self) {
+std::vector<Member> childrenOf(const RelayTreeOrder &order,
+                               const RelayTree &tree, const VmName &self) {
   std::vector<Member> out;
   for (const auto &[domain, members] : order) {
     auto it = std::find_if(members.begin(), members.end(),
                            [&](const Member &n) { return n.Vm == self; });
     if (it != members.end())
-      addShare(members, static_cast<std::size_t>(it - members.begin()), out);
+      addChildren(members, static_cast<std::size_t>(it - members.begin()), out);
     else if (self == tree.Root && !tree.DomainOnly)
       out.push_back(members.front());
   }
--- a/src/config/in_force.h
+++ b/src/config/in_force.h
@@ -1,5 +1,5 @@
 /// \file
-/// The configuration in force at one process.
+/// The configuration in force in a process.
 
 #ifndef PERIDOTFALL_CONFIG_IN_FORCE_H
 #define PERIDOTFALL_CONFIG_IN_FORCE_H
@@ -18,9 +18,9 @@
     return Current;
   }
 
-  /// Takes the configuration if its revision is above the one in force.
-  /// Several watches race to bring it, and an old answer may come last; the
-  /// comparison keeps a daemon from going back. \return whether it was taken.
+  /// Replaces the configuration if \p it has a higher revision. Several
+  /// watches deliver it concurrently and an old answer may arrive last; the
+  /// comparison prevents a rollback. \return whether it was replaced.
   bool offer(Configuration it) {
     std::lock_guard guard(Lock);
     if (Current && it.Revision <= Current->Revision)
--- a/src/config/questionnaire.cpp
+++ b/src/config/questionnaire.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-constexpr std::uint64_t MostMilliseconds = 86'400'000;
-constexpr std::uint64_t MostHours = 8'760;
+constexpr std::uint64_t MaxDurationMs = 86'400'000;
+constexpr std::uint64_t MaxRetentionHours = 8'760;
 constexpr std::uint64_t DefaultKeyHours = 24;
 constexpr std::uint64_t DefaultConfirmMs = 1'000;
 constexpr std::size_t IdBytes = 8;
-constexpr std::size_t TargetsOfGroup = 3;
-/// The platform holds values up to a megabyte.
-constexpr std::size_t MostBytes = 1'000'000;
+constexpr std::size_t TargetsPerGroup = 3;
+/// The platform's limit for a stored value is one megabyte.
+constexpr std::size_t MaxConfigurationBytes = 1'000'000;
 
-std::string at(const std::string &list, std::size_t n) {
+std::string elementPlace(const std::string &list, std::size_t n) {
   return fmt::format("{}/{}", list, n);
 }
 
@@ -35,10 +35,10 @@
   KindConfig kind;
   kind.Name = KindName(it.text("name"));
   auto effect = it.text("effect");
-  auto age = it.numberOr("mayBeOldMs", 0, MostMilliseconds, 0);
+  auto age = it.numberOr("mayBeOldMs", 0, MaxDurationMs, 0);
   if (effect == "changes") {
     kind.Mode = Access::Write;
-    // A team that does not say otherwise gets the safe answer.
+    // Without an answer the safe values apply.
     kind.Repeatable = it.flagOr("mayRepeat", false);
     kind.OfRecord = it.flagOr("ofRecord", true);
     if (age != 0)
@@ -67,21 +67,22 @@
   database.Name = DatabaseName(it.text("name"));
   std::size_t n = 0;
   for (const auto &target : it.list("targets"))
-    database.Targets.push_back(readTarget(
-        target, at(it.placeOf("targets"), n++), "failureDomain", findings));
+    database.Targets.push_back(
+        readTarget(target, elementPlace(it.placeOf("targets"), n++),
+                   "failureDomain", findings));
   n = 0;
   for (const auto &request : it.list("requests"))
-    database.Kinds.push_back(
-        readRequest(request, at(it.placeOf("requests"), n++), findings));
+    database.Kinds.push_back(readRequest(
+        request, elementPlace(it.placeOf("requests"), n++), findings));
   database.ConfirmLimit = std::chrono::milliseconds(
-      it.numberOr("confirmWithinMs", 1, MostMilliseconds, DefaultConfirmMs));
+      it.numberOr("confirmWithinMs", 1, MaxDurationMs, DefaultConfirmMs));
   database.KeyRetention = std::chrono::hours(
-      it.numberOr("keepKeysHours", 1, MostHours, DefaultKeyHours));
+      it.numberOr("keepKeysHours", 1, MaxRetentionHours, DefaultKeyHours));
   it.finish();
   return database;
 }
 
-/// \return whether the text is an IP number and a port.
+/// \return whether the text is an IP address and a port.
 bool isAddress(const std::string &text) {
   auto colon = text.rfind(':');
   if (colon == std::string::npos)
@@ -101,20 +102,20 @@
 
 void checkTargets(const DatabaseConfig &database, const std::string &place,
                   Findings &findings) {
-  if (database.Targets.size() != TargetsOfGroup)
+  if (database.Targets.size() != TargetsPerGroup)
     findings.push_back({place, "three targets: two of them are a majority",
                         std::to_string(database.Targets.size())});
-  std::map<DomainName, TargetName> held;
+  std::map<DomainName, TargetName> targetOfDomain;
   std::size_t n = 0;
   for (const auto &it : database.Targets) {
-    auto where = at(place, n++);
+    auto where = elementPlace(place, n++);
     if (!it.Address.empty() && !isAddress(it.Address))
       findings.push_back({where + "/address",
-                          "an IP number and port, as 10.0.0.1:7411",
+                          "an IP address and port, such as 10.0.0.1:7411",
                           it.Address});
     if (it.Domain.empty())
       continue;
-    auto [found, isNew] = held.emplace(it.Domain, it.Name);
+    auto [found, isNew] = targetOfDomain.emplace(it.Domain, it.Name);
     if (!isNew)
       findings.push_back({where + "/failureDomain",
                           "another failure domain than that of " +
@@ -124,7 +125,8 @@
   }
 }
 
-/// What the answers have to hold beyond what any configuration does.
+/// Checks the rules that apply to the questionnaire but not to every
+/// configuration.
 void checkAnswers(const Configuration &it, Findings &findings) {
   if (it.Domains.empty())
     findings.push_back(
@@ -132,7 +134,7 @@
   if (it.Databases.empty())
     findings.push_back({"/databases", "at least one", "none"});
   for (std::size_t n = 0; n < it.Databases.size(); ++n) {
-    auto place = at("/databases", n);
+    auto place = elementPlace("/databases", n);
     checkTargets(it.Databases[n], place + "/targets", findings);
     if (it.Databases[n].Kinds.empty())
       findings.push_back(
@@ -140,8 +142,8 @@
   }
 }
 
-/// \return the place in the questionnaire for one in the configuration.
-std::string placeInAnswers(std::string place) {
+/// Translates a place in the configuration to one in the questionnaire.
+std::string toQuestionnairePlace(std::string place) {
   static const std::pair<std::string, std::string> Renamed[] = {
       {"/kinds/", "/requests/"},
       {"/domains/", "/failureDomains/"},
@@ -159,10 +161,10 @@
 void checkRules(const Configuration &config, Findings &findings) {
   checkAnswers(config, findings);
   for (auto it : checkConfiguration(config)) {
-    // What is missing has been reported as such.
+    // Missing fields have been reported already.
     if (it.Found.empty())
       continue;
-    it.Place = placeInAnswers(it.Place);
+    it.Place = toQuestionnairePlace(it.Place);
     findings.push_back(std::move(it));
   }
 }
@@ -179,7 +181,7 @@
   it.text("team");
   std::size_t n = 0;
   for (const auto &domain : it.list("failureDomains")) {
-    ObjectReader reader(domain, at("/failureDomains", n++), findings);
+    ObjectReader reader(domain, elementPlace("/failureDomains", n++), findings);
     config.Domains.push_back(
         {DomainName(reader.text("name")), RegionName(reader.text("region"))});
     reader.finish();
@@ -187,11 +189,11 @@
   n = 0;
   for (const auto &database : it.list("databases"))
     config.Databases.push_back(
-        readDatabase(database, at("/databases", n++), findings));
+        readDatabase(database, elementPlace("/databases", n++), findings));
   it.finish();
   checkRules(config, findings);
   auto bytes = writeConfiguration(config).size();
-  if (bytes > MostBytes)
+  if (bytes > MaxConfigurationBytes)
     findings.push_back({"/databases", "a configuration of at most a megabyte",
                         fmt::format("{} bytes, {} databases", bytes,
                                     config.Databases.size())});
--- a/src/config/target_reader.cpp
+++ b/src/config/target_reader.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr std::uint64_t MostSlots = 1'000;
-constexpr std::uint64_t MostConnections = 10'000;
+constexpr std::uint64_t MaxSlots = 1'000;
+constexpr std::uint64_t MaxConnections = 10'000;
 
 } // namespace
 
@@ -16,9 +16,9 @@
   target.Name = TargetName(it.text("name"));
   target.Domain = DomainName(it.text(domainField));
   target.Address = it.text("address");
-  target.Slots = static_cast<std::uint32_t>(it.number("slots", 1, MostSlots));
+  target.Slots = static_cast<std::uint32_t>(it.number("slots", 1, MaxSlots));
   target.Connections =
-      static_cast<std::uint32_t>(it.number("connections", 2, MostConnections));
+      static_cast<std::uint32_t>(it.number("connections", 2, MaxConnections));
   it.finish();
   return target;
 }
--- a/src/config/target_reader.h
+++ b/src/config/target_reader.h
@@ -1,5 +1,6 @@
 /// \file
-/// Reads a target, alike in the questionnaire and in the configuration.
+/// Parses a target, which has the same form in the questionnaire and in the
+/// configuration.
 
 #ifndef PERIDOTFALL_CONFIG_TARGET_READER_H
 #define PERIDOTFALL_CONFIG_TARGET_READER_H
@@ -11,7 +12,7 @@
 
 namespace peridotfall {
 
-/// \param domainField name of the field that holds the failure domain.
+/// \param domainField name of the field with the failure domain.
 TargetConfig readTarget(const Json &json, const std::string &place,
                         const char *domainField, Findings &findings);
 
--- a/src/messages/inner.h
+++ b/src/messages/inner.h
@@ -28,15 +28,14 @@
 std::string encode(const StatementRequest &it);
 std::string encode(const StatementAnswer &it);
 
-/// \return Invalid where the bytes or a number of an enumeration are not of
-/// this protocol.
+/// \return Invalid if the message is malformed or an enum value is unknown.
 Result<StatementRequest> decodeStatementRequest(const std::string &bytes);
 Result<StatementAnswer> decodeStatementAnswer(const std::string &bytes);
 
-/// What a daemon says of itself.
+/// A daemon's own state.
 struct PeerInfo {
   Member Self;
-  std::uint64_t Revision = 0; ///< Of the configuration in force there.
+  std::uint64_t Revision = 0; ///< Of its configuration.
 
   auto operator<=>(const PeerInfo &) const = default;
 };
@@ -44,16 +43,17 @@
 std::string encode(const PeerInfo &it);
 Result<PeerInfo> decodePeerInfo(const std::string &bytes);
 
-/// A probe, a comparison or an announcement; the answer is one too.
+/// A membership update: a probe, a comparison or an announcement. The answer
+/// has the same type.
 struct News {
   MemberRecord From;
   std::uint64_t Revision = 0; ///< Of the configuration; 0: none in force.
   std::uint64_t ListStamp = 0;
   std::uint64_t ListDigest = 0;
   std::vector<MemberRecord> Members;
-  std::uint64_t TreeId = 0; ///< 0: not to be passed on.
-  Tree Along;
-  std::string Holder; ///< Address to fetch from; empty: of the sender.
+  std::uint64_t TreeId = 0; ///< 0: not relayed.
+  RelayTree Along;
+  std::string Holder; ///< Address to fetch from; empty: the sender's.
 
   auto operator<=>(const News &) const = default;
 };
@@ -73,7 +73,7 @@
 Result<VmList> decodeVmList(const std::string &bytes);
 
 std::string encode(const Configuration &it);
-/// \return Invalid where it is not a configuration that this version knows.
+/// \return Invalid if this version can't parse the configuration.
 Result<Configuration> decodeConfiguration(const std::string &bytes);
 
 } // namespace peridotfall::messages
--- a/tests/config/distribution_test.cpp
+++ b/tests/config/distribution_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A stand-in platform and daemons, each with its own loops, on loopback.
+/// A stand-in platform and daemons, each with its own event loops, on loopback.
 struct DistributionFixture {
   http::Loops Loops{1};
   std::shared_ptr<standin::Platform> Store =
@@ -90,8 +90,8 @@
   }
 
   bool awaitRevision(Daemon &daemon, std::uint64_t revision) {
-    constexpr int MostSteps = 1'000;
-    for (int n = 0; n < MostSteps; ++n) {
+    constexpr int MaxSteps = 1'000;
+    for (int n = 0; n < MaxSteps; ++n) {
       if (daemon.revision() >= revision)
         return true;
       std::this_thread::sleep_for(20ms);
@@ -102,8 +102,8 @@
 
 } // namespace
 
-// Of three daemons in one failure domain two watch the platform; the third
-// hears of each change from them.
+// Two of three daemons in a failure domain watch the platform; the third
+// receives each change from them.
 TEST_CASE_FIXTURE(DistributionFixture,
                   "configuration, applied, is in force at all daemons") {
   for (int n = 1; n <= 3; ++n)
@@ -118,10 +118,11 @@
     CHECK(awaitRevision(*it, 2));
 }
 
-// The platform is down when a VM is replaced. The new daemon says why it is
-// not ready while it knows no peer, and is ready by what a peer holds.
-TEST_CASE_FIXTURE(DistributionFixture,
-                  "configuration, platform down at the start, is a peer's") {
+// A VM is replaced while the platform is down. The new daemon reports why it is
+// not ready while it knows no peer, and gets the configuration from a peer.
+TEST_CASE_FIXTURE(
+    DistributionFixture,
+    "configuration, platform down at the start, comes from a peer") {
   auto &first = start("vm-1", platform());
   listVms();
   apply(0);
@@ -136,10 +137,11 @@
   CHECK(ask(second.callerPort(), "GET", "/readyz").Status == 200);
 }
 
-// The platform goes back to an older object, as from a restored backup. A
-// daemon that followed it would serve what was replaced long ago.
-TEST_CASE_FIXTURE(DistributionFixture,
-                  "configuration, lower revision at the platform, is refused") {
+// The platform returns an older object, for example from a restored backup. A
+// daemon that applied it would serve an outdated configuration.
+TEST_CASE_FIXTURE(
+    DistributionFixture,
+    "configuration, lower revision at the platform, is rejected") {
   auto &daemon = start("vm-1", platform());
   Config.Revision = 7;
   apply(0);
@@ -149,7 +151,7 @@
   Config.Revision = 8;
   apply(2);
   CHECK(awaitRevision(daemon, 8));
-  // The rule itself, beside what a plain assignment would do.
+  // The rule itself, compared with a plain assignment.
   ConfigurationInForce kept;
   std::uint64_t assigned = 0;
   for (std::uint64_t n : {7, 6}) {
--- a/tests/config/fan_out_test.cpp
+++ b/tests/config/fan_out_test.cpp
@@ -28,7 +28,7 @@
                   "fan-out tree, any root, reaches each member once") {
   auto all = members(1'700, 7);
   for (int root : {0, 1, 777, 1'699}) {
-    Tree tree{all[static_cast<std::size_t>(root)].Vm, false};
+    RelayTree tree{all[static_cast<std::size_t>(root)].Vm, false};
     auto order = arrange(all, tree);
     std::set<VmName> reached{tree.Root};
     std::vector<VmName> next{tree.Root};
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_FIXTURE(FanOutFixture,
-                  "watchers, one leaves or is gone, are two of each domain") {
+                  "watchers, one leaves, are two of each domain") {
   auto all = members(30, 3);
   auto count = [&](const DomainName &domain) {
     return std::count_if(all.begin(), all.end(), [&](const Member &it) {
@@ -63,10 +63,10 @@
   CHECK(count(DomainName("d0")) == 2);
 }
 
-// All watchers but one are cut off from the platform, and a twentieth of the
-// daemons died a moment ago, which nobody knows yet. The change must be in
-// force at all others within 2 s. Without taking over the children of a dead
-// node, those below it are never told.
+// All watchers but one are cut off from the platform, and 5% of the daemons
+// have just failed, which no daemon knows yet. The change must be in force at
+// all others within 2 s. Without relaying to the children of a dead node, those
+// below it never receive the change.
 TEST_CASE("relay, one watcher and 5% dead of 1,700, is in force within 2 s") {
   for (std::uint64_t seed : {1, 2, 3}) {
     RelayOptions options;
--- a/tests/config/questionnaire_test.cpp
+++ b/tests/config/questionnaire_test.cpp
@@ -32,7 +32,6 @@
            Requests + "]}]}";
   }
 
-  /// \return the places of all findings.
   std::vector<std::string> places() const {
     std::vector<std::string> out;
     auto it = generateConfiguration(answers());
@@ -58,19 +57,20 @@
 }
 
 TEST_CASE_FIXTURE(QuestionnaireFixture,
-                  "questionnaire, two targets in one domain, is refused") {
+                  "questionnaire, two targets in one domain, is rejected") {
   Third = "d1";
   CHECK(places() == Places{"/databases/0/targets/2/failureDomain"});
 }
 
 TEST_CASE_FIXTURE(QuestionnaireFixture,
-                  "questionnaire, unknown domain, names the answer's place") {
+                  "questionnaire, unknown domain, reports its place") {
   Third = "d9";
   CHECK(places() == Places{"/databases/0/targets/2/failureDomain"});
 }
 
-TEST_CASE_FIXTURE(QuestionnaireFixture,
-                  "questionnaire, address no IP number and port, is refused") {
+TEST_CASE_FIXTURE(
+    QuestionnaireFixture,
+    "questionnaire, address no IP address and port, is rejected") {
   for (const auto *it : {"db.example:7411", "10.0.0.1", "10.0.0.1:0",
                          "10.0.0.300:1", "10.0.0.1:70000", "10.0.0.1:1x"}) {
     Address = it;
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE_FIXTURE(QuestionnaireFixture,
-                  "questionnaire, several things wrong, reports all") {
+                  "questionnaire, several errors, reports all") {
   ThirdTarget = "t1";
   Third = "d9";
   Address = "here";
@@ -97,7 +97,7 @@
   CHECK(found.size() == 7);
 }
 
-TEST_CASE("questionnaire, nothing in it, asks for each part") {
+TEST_CASE("questionnaire, empty, reports each missing part") {
   auto it = generateConfiguration(
       R"({"team":"a","failureDomains":[],"databases":[]})");
   REQUIRE_FALSE(it);
--- a/tests/config/relay_fake.h
+++ b/tests/config/relay_fake.h
@@ -1,7 +1,6 @@
 /// \file
-/// A fake of many daemons that pass one change on, in virtual time: the tree
-/// and the comparisons are the program's decisions, links and failures are
-/// numbers.
+/// Simulates, in virtual time, many daemons that relay one change. The tree is
+/// the production code's; links and failures are parameters.
 
 #ifndef PERIDOTFALL_TESTS_CONFIG_RELAY_FAKE_H
 #define PERIDOTFALL_TESTS_CONFIG_RELAY_FAKE_H
@@ -25,19 +24,19 @@
 struct RelayOptions {
   std::size_t Daemons = 1'700;
   std::size_t Domains = 7;
-  std::size_t Watchers = 99; ///< At most so many learn from the platform.
-  double Dead = 0;           ///< Share that answers nothing, unknown to all.
-  bool AdoptChildren = true; ///< Of a child that does not answer.
+  std::size_t Watchers = 99; ///< Limit of those that reach the platform.
+  double Dead = 0;           ///< Share of failed daemons, not yet noticed.
+  bool AdoptChildren = true; ///< Relay to those of a dead child.
   bool Compare = true;
-  milliseconds Link{8};        ///< One way, between any two.
-  milliseconds SendLimit{500}; ///< After which a child counts as lost.
+  milliseconds Link{8};        ///< One-way delay between any two.
+  milliseconds SendLimit{500}; ///< Until a child counts as dead.
   milliseconds ComparePeriod{2'000};
   milliseconds End{20'000};
   std::uint64_t Seed = 1;
 };
 
 struct RelayOutcome {
-  std::vector<milliseconds> ReachedAt; ///< Sorted, of those that are alive.
+  std::vector<milliseconds> ReachedAt; ///< Sorted; live daemons only.
   std::size_t Alive = 0;
   std::size_t Messages = 0;
   std::size_t MostSent = 0; ///< By one daemon.
@@ -64,7 +63,7 @@
         Dead.insert(it.Vm);
   }
 
-  /// The change becomes known to all watchers that are alive at time 0.
+  /// At time 0 the live watchers receive the change.
   RelayOutcome run() {
     for (const auto &it : All)
       if (Dead.count(it.Vm) == 0) {
@@ -107,13 +106,13 @@
         1, Options.ComparePeriod.count())(Random));
   }
 
-  void learn(const VmName &vm, const Tree &tree) {
+  void learn(const VmName &vm, const RelayTree &tree) {
     Reached.emplace(vm, Now);
     if (Passed.insert({vm, tree.Root}).second)
       passOn(vm, tree, vm);
   }
 
-  void passOn(const VmName &sender, const Tree &tree, const VmName &node) {
+  void passOn(const VmName &sender, const RelayTree &tree, const VmName &node) {
     auto &order = Orders[tree.Root];
     if (order.empty())
       order = arrange(All, tree);
@@ -121,7 +120,7 @@
       ++Out.Messages;
       ++Sent[sender];
       if (Dead.count(it.Vm) == 0)
-        // There, and what it fetches back.
+        // The announcement, and fetching the change.
         at(Now + 3 * Options.Link, [this, it, tree] { learn(it.Vm, tree); });
       else if (Options.AdoptChildren)
         at(Now + Options.SendLimit,
@@ -144,7 +143,7 @@
   std::vector<Member> All;
   std::set<VmName> Dead;
   std::priority_queue<Event> Events;
-  std::map<VmName, TreeOrder> Orders;
+  std::map<VmName, RelayTreeOrder> Orders;
   std::size_t Watching = 0;
   std::uint64_t Turn = 0;
   milliseconds Now{};
