--- a/include/peridotfall/membership.h
+++ b/include/peridotfall/membership.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who is alive, and which daemon owns the connections of a target.
+/// Membership of the daemons, and ownership of the targets' connections.
 
 #ifndef PERIDOTFALL_MEMBERSHIP_H
 #define PERIDOTFALL_MEMBERSHIP_H
@@ -18,38 +18,39 @@
 
 namespace peridotfall {
 
-/// One entry VM, as the membership knows it.
+/// A VM that the membership knows of.
 struct Member {
   VmName Vm;
   DomainName Domain;
   RegionName Region;
-  std::string InnerAddress; ///< IP number and port for other daemons.
-  /// Grows with each start, so that a VM replaced on an old address is not
-  /// taken for its forerunner.
+  std::string InnerAddress; ///< IP address and port for other daemons.
+  /// Increases with each start. Tells a VM from its predecessor at the same
+  /// address.
   std::uint64_t Incarnation = 0;
   bool Leaving = false;
-  /// A VM of a target, which the platform lists too; it runs no daemon.
+  /// The VM runs a target and no daemon; the platform lists these too.
   bool ServesTarget = false;
-  /// Megabits a second of the VM's link; 0: not known.
+  /// Bandwidth of the VM's link in Mbit/s; 0: unknown.
   std::uint32_t LinkMbps = 0;
 
   auto operator<=>(const Member &) const = default;
 };
 
-/// The daemons by rank for a target: rendezvous hashing over the live members
-/// of its failure domain, then of its region, then all others. Rank 0 owns
-/// the target; the next step in when it fails.
+/// Ranks the daemons for a target by rendezvous hashing: first the members of
+/// its failure domain, then of its region, then all others. The first one owns
+/// the target; the next takes over when it fails.
 std::vector<Member> rankOwners(const std::vector<Member> &members,
                                const TargetName &target,
                                const DomainName &domain,
                                const RegionName &region);
 
-/// What is known of a daemon. Of two records of one VM the higher
-/// (Incarnation, Version) holds; at equal ones the suspicions are united.
+/// The state known of a daemon. Of two records of one VM the one with the
+/// higher (Incarnation, Version) wins; if these are equal, the sets of
+/// suspecting daemons are merged.
 struct MemberRecord {
   Member It;
-  /// Raised by the member itself to refute a suspicion or to say that it
-  /// leaves.
+  /// Incremented by the member itself to refute a suspicion or to announce
+  /// that it leaves.
   std::uint64_t Version = 0;
   /// Daemons that could not reach it at this incarnation and version.
   std::set<VmName> Suspecting;
@@ -58,72 +59,80 @@
 };
 
 struct MembershipOptions {
-  /// Time between two probes of one member. Load: 1,700 daemons; each probes
-  /// and is probed by about four, a few KB a second. Harm: all probing all
-  /// are 2.9 million probes a second.
+  /// Time between two probes of one member. With 1,700 daemons each probes
+  /// about four others and is probed by about four, a few KB/s. If all probed
+  /// all, this would be 2.9 million probes per second.
   Duration ProbePeriod = std::chrono::seconds(1);
-  /// Time until a probe that failed is made again.
+  /// Time until a failed probe is retried.
   Duration RetryPause = std::chrono::milliseconds(200);
-  /// A pause or loss of a second must not move ownership; two misses in a row
-  /// are more than one lost packet.
+  /// Consecutive failed probes after which a member is suspected. One lost
+  /// packet, or a pause of a second, must not move ownership.
   unsigned MissesToSuspect = 2;
-  /// One daemon with a broken link must not remove others from everyone's
-  /// view; a daemon believes itself, or two others.
+  /// Reports by others after which a member is suspected; a daemon's own
+  /// failed probes suffice alone. A single daemon with a broken link must not
+  /// remove others from everyone's view.
   unsigned ReportersToSuspect = 2;
-  /// Successors probed, on the ring of the own failure domain and of all.
+  /// Successors to probe on the hash ring of the daemon's failure domain, and
+  /// on that of all members.
   std::size_t DomainNeighbours = 2;
   std::size_t FleetNeighbours = 1;
-  /// Up to so many members each daemon probes all of them.
+  /// Up to this many members, each daemon probes all others.
   std::size_t SmallFleet = 9;
-  /// Time between comparisons with a random member.
+  /// Time between exchanges of state with a random member.
   Duration ComparePeriod = std::chrono::seconds(2);
-  /// How far the platform's list lags at most: one that lacks a daemon heard
-  /// of this recently does not remove it.
+  /// Maximum lag of the platform's list. A daemon that was first heard of more
+  /// recently than this is kept although the list lacks it.
   Duration ListLag = std::chrono::seconds(30);
-  /// How long a change is told to whoever one speaks with.
-  Duration NewsAge = std::chrono::seconds(10);
+  /// How long a changed record is sent with each message to another daemon.
+  Duration GossipAge = std::chrono::seconds(10);
 };
 
-/// Who is alive, as one daemon sees it: the platform's lagging list corrected
-/// by probes and by what others tell. Decides only; sends nothing.
+/// The live members as seen by one daemon: the platform's list, which lags,
+/// corrected by probes and by gossip. Contains the decisions only; the caller
+/// sends the messages.
 class Membership {
 public:
   Membership(Member self, MembershipOptions options, std::uint64_t seed);
 
-  /// Takes the platform's list.
+  /// Merges the platform's list.
   void takeList(const std::vector<Member> &list, TimePoint now);
-  /// \return whom to probe now. Each is answered by takeAnswer or takeMiss.
+  /// \return the members to probe now. The result of each probe is reported
+  /// by takeAnswer or takeMiss.
   std::vector<Member> probesDue(TimePoint now);
-  /// \param asked whom the probe was for. \param answered who answered.
+  /// \param asked the probed member. \param answered the daemon that answered,
+  /// which differs if a VM was replaced.
   void takeAnswer(const Member &asked, const MemberRecord &answered,
                   TimePoint now);
   void takeMiss(const Member &asked, TimePoint now);
-  /// Takes what a daemon says of itself, heard without a probe.
+  /// Merges a daemon's own record, received without a probe.
   void takeContact(const MemberRecord &from, TimePoint now);
-  /// Takes what another tells of third members.
+  /// Merges the records of other members that a daemon sent.
   void takeNews(const std::vector<MemberRecord> &records, TimePoint now);
-  /// From now on this daemon owns nothing.
+  /// Marks this daemon as leaving: from now on it owns no targets.
   void leave(TimePoint now);
-  /// Raises this daemon's incarnation: the clock that it was drawn from had
-  /// gone back, and others would take it for its forerunner.
+  /// Raises this daemon's incarnation, which comes from the clock. If the clock
+  /// was set back between two starts, others would mistake this daemon for its
+  /// predecessor.
   void raiseIncarnation(std::uint64_t incarnation);
-  /// Once the daemon listens: the address that others reach it by.
+  /// Sets this daemon's address, known once it listens.
   void setOwnAddress(std::string address);
 
-  /// \return this daemon and all it holds alive, leaving ones included.
+  /// \return this daemon and all that aren't suspected, leaving ones included.
   std::vector<Member> live() const;
-  /// \return all it knows of, suspected ones included.
+  /// \return all known members, suspected ones included.
   std::vector<Member> known() const;
   MemberRecord self() const;
   std::optional<Member> findMember(const VmName &vm) const;
   bool isSuspected(const VmName &vm) const;
-  /// \return the records that changed lately, newest first, at most \p most.
-  std::vector<MemberRecord> recent(TimePoint now, std::size_t most) const;
-  /// \return what it knows of one daemon, to be told to that daemon.
+  /// \return the recently changed records, newest first.
+  std::vector<MemberRecord> recent(TimePoint now, std::size_t maxRecords) const;
+  /// \return the record of a daemon that any daemon suspects, to be sent to it
+  /// so that it can refute the suspicion; empty if no daemon suspects it.
   std::vector<MemberRecord> about(const VmName &vm) const;
-  /// \return what this daemon itself observed and nobody was told yet.
+  /// \return this daemon's own observations since the last call, to be
+  /// announced to others.
   std::vector<MemberRecord> takeObserved();
-  /// Changes whenever live() does.
+  /// Changes whenever the result of live() may have changed.
   std::uint64_t generation() const { return Generation; }
 
 private:
@@ -132,19 +141,19 @@
     unsigned Misses = 0;
     bool InFlight = false;
     TimePoint NextProbe;
-    TimePoint FirstHeard;
+    TimePoint FirstSeen;
     TimePoint ChangedAt;
-    bool ListLeaving = false; ///< By the platform's list.
+    bool ListLeaving = false; ///< According to the platform's list.
     std::string ListAddress;
   };
 
   static Member effective(const Entry &it);
-  bool suspected(const MemberRecord &it) const;
-  void takeListed(Entry &entry, const Member &listed, TimePoint now);
+  bool isSuspect(const MemberRecord &it) const;
+  void updateListed(Entry &entry, const Member &listed, TimePoint now);
   Entry *find(const VmName &vm);
   void merge(const MemberRecord &record, TimePoint now);
-  void observed(Entry &it, TimePoint now);
-  void changed(Entry &it, TimePoint now);
+  void recordObserved(Entry &it, TimePoint now);
+  void markChanged(Entry &it, TimePoint now);
   void refute(std::uint64_t version, TimePoint now);
   std::set<VmName> neighbours();
 
@@ -154,7 +163,7 @@
   std::map<VmName, Entry> Entries;
   std::vector<MemberRecord> Observed;
   std::uint64_t Generation = 1;
-  std::uint64_t NeighboursOf = 0; ///< Generation the ring was computed for.
+  std::uint64_t NeighboursGeneration = 0; ///< At which Neighbours was computed.
   std::set<VmName> Neighbours;
   TimePoint NextCompare{};
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// \return the successors of \p self on the ring of hashed names.
+/// Adds the successors of \p self on the ring of hashed names to \p out.
 void addSuccessors(std::vector<std::pair<std::uint64_t, VmName>> ring,
                    const VmName &self, std::size_t count,
                    std::set<VmName> &out) {
@@ -34,7 +34,7 @@
   Entries[Self].Record.It = std::move(self);
 }
 
-bool Membership::suspected(const MemberRecord &it) const {
+bool Membership::isSuspect(const MemberRecord &it) const {
   return it.It.Vm != Self &&
          (it.Suspecting.count(Self) != 0 ||
           it.Suspecting.size() >= Options.ReportersToSuspect);
@@ -45,13 +45,13 @@
   return it == Entries.end() ? nullptr : &it->second;
 }
 
-void Membership::changed(Entry &it, TimePoint now) {
+void Membership::markChanged(Entry &it, TimePoint now) {
   it.ChangedAt = now;
   ++Generation;
 }
 
-void Membership::observed(Entry &it, TimePoint now) {
-  changed(it, now);
+void Membership::recordObserved(Entry &it, TimePoint now) {
+  markChanged(it, now);
   Observed.push_back(it.Record);
 }
 
@@ -61,13 +61,14 @@
   return member;
 }
 
-void Membership::takeListed(Entry &entry, const Member &listed, TimePoint now) {
+void Membership::updateListed(Entry &entry, const Member &listed,
+                              TimePoint now) {
   auto before = effective(entry);
   entry.ListLeaving = listed.Leaving;
   auto &known = entry.Record.It;
   if (known.Vm != Self) {
-    // An address that is new in the list is a VM replaced; else what the
-    // daemon says of itself is newer than the list.
+    // A changed address in the list means that the VM was replaced. Otherwise
+    // the daemon's own report is newer than the list.
     bool moved = listed.InnerAddress != entry.ListAddress;
     entry.ListAddress = listed.InnerAddress;
     auto next = listed;
@@ -78,7 +79,7 @@
     known = next;
   }
   if (effective(entry) != before)
-    changed(entry, now);
+    markChanged(entry, now);
 }
 
 void Membership::takeList(const std::vector<Member> &list, TimePoint now) {
@@ -90,14 +91,14 @@
       entry = &Entries[it.Vm];
       entry->Record.It = it;
       entry->Record.It.Leaving = false;
-      entry->FirstHeard = now;
-      changed(*entry, now);
+      entry->FirstSeen = now;
+      markChanged(*entry, now);
     }
-    takeListed(*entry, it, now);
+    updateListed(*entry, it, now);
   }
   for (auto it = Entries.begin(); it != Entries.end();) {
     bool drop = listed.count(it->first) == 0 &&
-                now - it->second.FirstHeard > Options.ListLag;
+                now - it->second.FirstSeen > Options.ListLag;
     if (drop)
       ++Generation;
     it = drop ? Entries.erase(it) : std::next(it);
@@ -105,17 +106,18 @@
 }
 
 std::set<VmName> Membership::neighbours() {
-  if (NeighboursOf == Generation)
+  if (NeighboursGeneration == Generation)
     return Neighbours;
-  NeighboursOf = Generation;
+  NeighboursGeneration = Generation;
   Neighbours.clear();
   auto domain = Entries[Self].Record.It.Domain;
   std::vector<std::pair<std::uint64_t, VmName>> all;
   std::vector<std::pair<std::uint64_t, VmName>> own;
   for (const auto &[vm, it] : Entries) {
-    // A suspected one is left to the comparisons: else its prober would keep
-    // probing it and leave the next live one to nobody.
-    bool skip = suspected(it.Record) && Entries.size() > Options.SmallFleet;
+    // Suspected members are skipped and left to the random comparisons below.
+    // Otherwise their prober would keep probing them, and nobody would probe
+    // the next live member.
+    bool skip = isSuspect(it.Record) && Entries.size() > Options.SmallFleet;
     if (it.Record.It.ServesTarget || skip)
       continue;
     all.emplace_back(stableHash(vm.Value, "ring"), vm);
@@ -143,7 +145,8 @@
     if (it && it->NextProbe <= now)
       add(*it);
   }
-  // A random member, suspected or not: a healed cut is noticed by it.
+  // A random member, suspected or not, so that the end of a network partition
+  // is noticed.
   if (now >= NextCompare && Entries.size() > 1) {
     NextCompare = now + Options.ComparePeriod;
     std::uniform_int_distribution<std::size_t> pick(0, Entries.size() - 1);
@@ -157,9 +160,10 @@
 
 void Membership::takeAnswer(const Member &asked, const MemberRecord &answered,
                             TimePoint now) {
-  // Failure: a VM was replaced and another daemon listens on its address.
-  // Symptom: its owner seems alive, and work is sent to one that holds
-  // nothing of it. The name and incarnation in the answer tell them apart.
+  // If a VM was replaced, another daemon may listen on its address. Without
+  // this check the probed member would count as alive, and work for it would go
+  // to a daemon that holds none of its connections. The name and incarnation in
+  // the answer distinguish the two.
   if (answered.It.Vm != asked.Vm) {
     takeMiss(asked, now);
     takeContact(answered, now);
@@ -174,16 +178,16 @@
   if (from.It.Vm == Self)
     return;
   auto *it = find(from.It.Vm);
-  // A late answer of a forerunner says nothing of who runs there now.
+  // Ignore a late answer of a previous incarnation.
   if (it && from.It.Incarnation < it->Record.It.Incarnation)
     return;
-  auto told = from;
-  told.Suspecting.clear();
-  merge(told, now);
+  auto reported = from;
+  reported.Suspecting.clear();
+  merge(reported, now);
   it = find(from.It.Vm);
   it->Misses = 0;
   if (it->Record.Suspecting.erase(Self) != 0)
-    changed(*it, now);
+    markChanged(*it, now);
 }
 
 void Membership::takeMiss(const Member &asked, TimePoint now) {
@@ -197,7 +201,7 @@
   if (++it->Misses < Options.MissesToSuspect)
     return;
   if (it->Record.Suspecting.insert(Self).second)
-    observed(*it, now);
+    recordObserved(*it, now);
 }
 
 void Membership::takeNews(const std::vector<MemberRecord> &records,
@@ -216,7 +220,7 @@
   if (version < own.Record.Version)
     return;
   own.Record.Version = version + 1;
-  observed(own, now);
+  recordObserved(own, now);
 }
 
 void Membership::merge(const MemberRecord &record, TimePoint now) {
@@ -228,15 +232,15 @@
   auto next = std::pair(record.It.Incarnation, record.Version);
   if (isNew || next > rank) {
     if (isNew)
-      entry.FirstHeard = now;
+      entry.FirstSeen = now;
     if (known.It.Incarnation != record.It.Incarnation)
       entry.Misses = 0;
     known = record;
     if (known.It.InnerAddress.empty())
       known.It.InnerAddress = address;
-    // Only an own probe tells whether this daemon reaches it.
+    // Only this daemon's own probes decide whether it suspects the member.
     known.Suspecting.erase(Self);
-    changed(entry, now);
+    markChanged(entry, now);
     return;
   }
   if (next < rank)
@@ -247,7 +251,7 @@
       known.Suspecting.insert(it);
   known.It.Leaving |= record.It.Leaving;
   if (known != before)
-    changed(entry, now);
+    markChanged(entry, now);
 }
 
 void Membership::leave(TimePoint now) {
@@ -256,7 +260,7 @@
     return;
   own.Record.It.Leaving = true;
   ++own.Record.Version;
-  observed(own, now);
+  recordObserved(own, now);
 }
 
 void Membership::raiseIncarnation(std::uint64_t incarnation) {
@@ -273,7 +277,7 @@
 std::vector<Member> Membership::live() const {
   std::vector<Member> out;
   for (const auto &[vm, it] : Entries)
-    if (!it.Record.It.ServesTarget && !suspected(it.Record))
+    if (!it.Record.It.ServesTarget && !isSuspect(it.Record))
       out.push_back(effective(it));
   return out;
 }
@@ -295,21 +299,21 @@
 
 bool Membership::isSuspected(const VmName &vm) const {
   auto it = Entries.find(vm);
-  return it != Entries.end() && suspected(it->second.Record);
+  return it != Entries.end() && isSuspect(it->second.Record);
 }
 
 std::vector<MemberRecord> Membership::recent(TimePoint now,
-                                             std::size_t most) const {
+                                             std::size_t maxRecords) const {
   std::vector<const Entry *> found;
   for (const auto &[vm, it] : Entries)
-    if (it.Record.It.Incarnation != 0 && now - it.ChangedAt < Options.NewsAge)
+    if (it.Record.It.Incarnation != 0 && now - it.ChangedAt < Options.GossipAge)
       found.push_back(&it);
   std::sort(found.begin(), found.end(), [](const Entry *a, const Entry *b) {
     return std::tie(b->ChangedAt, a->Record) <
            std::tie(a->ChangedAt, b->Record);
   });
   std::vector<MemberRecord> out;
-  for (std::size_t n = 0; n < std::min(most, found.size()); ++n)
+  for (std::size_t n = 0; n < std::min(maxRecords, found.size()); ++n)
     out.push_back(found[n]->Record);
   return out;
 }
--- a/src/membership/ownership.cpp
+++ b/src/membership/ownership.cpp
@@ -23,7 +23,7 @@
                                const RegionName &region) {
   std::vector<std::tuple<int, std::uint64_t, VmName, const Member *>> ranked;
   for (const auto &it : members) {
-    // A leaving daemon takes no new work, so it must own nothing.
+    // A leaving daemon accepts no new work, so it must own no target.
     if (!it.Leaving && !it.ServesTarget)
       ranked.emplace_back(distance(it, domain, region),
                           ~stableHash(it.Vm.Value, target.Value), it.Vm, &it);
--- a/src/membership/stable_hash.h
+++ b/src/membership/stable_hash.h
@@ -1,5 +1,5 @@
 /// \file
-/// A hash that is the same in all daemons and versions.
+/// A hash function that is the same in all daemons and versions.
 
 #ifndef PERIDOTFALL_MEMBERSHIP_STABLE_HASH_H
 #define PERIDOTFALL_MEMBERSHIP_STABLE_HASH_H
@@ -9,8 +9,8 @@
 
 namespace peridotfall {
 
-/// FNV-1a with a final mix. All daemons must agree on it in every version, so
-/// it cannot be std::hash, which differs between builds.
+/// FNV-1a with the finalizer of MurmurHash3. std::hash isn't usable: it differs
+/// between builds, and daemons of all versions must compute the same value.
 inline std::uint64_t stableHash(std::string_view a, std::string_view b) {
   constexpr std::uint64_t Prime = 1099511628211ULL;
   std::uint64_t h = 14695981039346656037ULL;
--- a/src/membership/vm_list.cpp
+++ b/src/membership/vm_list.cpp
@@ -10,12 +10,14 @@
 
 namespace {
 
-/// A daemon whose clock is ahead must not hold its list in force for long.
-constexpr Stamp MostAhead = 5'000;
-/// For so long a list that was replaced is not taken again: two pollers whose
-/// views of the platform lag differently would else take turns.
-constexpr Stamp ReplacedLimit = 10'000;
-constexpr std::size_t MostReplaced = 16;
+/// Limit for stamps from other daemons. Without it, a daemon whose clock is
+/// ahead would keep its list in force for too long.
+constexpr Stamp MaxClockAheadMs = 5'000;
+/// A polled list that was replaced less than this ago is not accepted again.
+/// Otherwise two pollers whose views of the platform lag differently would
+/// replace each other's list in turn.
+constexpr Stamp ReplacedRetentionMs = 10'000;
+constexpr std::size_t MaxReplaced = 16;
 
 std::uint64_t digestOf(const std::vector<Member> &list) {
   std::string text;
@@ -29,11 +31,11 @@
 
 } // namespace
 
-void VmListInForce::take(std::vector<Member> list, std::uint64_t digest,
-                         Stamp stamp, Stamp wall) {
-  Past.push_back({Digest, wall});
-  if (Past.size() > MostReplaced)
-    Past.pop_front();
+void VmListInForce::replace(std::vector<Member> list, std::uint64_t digest,
+                            Stamp stamp, Stamp wall) {
+  RecentlyReplaced.push_back({Digest, wall});
+  if (RecentlyReplaced.size() > MaxReplaced)
+    RecentlyReplaced.pop_front();
   List = std::move(list);
   Digest = digest;
   At = stamp;
@@ -44,33 +46,34 @@
   auto digest = digestOf(list);
   if (digest == Digest)
     return false;
-  bool replaced =
-      std::any_of(Past.begin(), Past.end(), [&](const Replaced &it) {
-        return it.Digest == digest && wall - it.At < ReplacedLimit;
-      });
+  bool replaced = std::any_of(RecentlyReplaced.begin(), RecentlyReplaced.end(),
+                              [&](const ReplacedList &it) {
+                                return it.Digest == digest &&
+                                       wall - it.At < ReplacedRetentionMs;
+                              });
   if (replaced)
     return false;
-  // Above the one in force also where that came from a clock ahead of ours.
-  take(std::move(list), digest, std::max(wall, At + 1), wall);
+  // Must exceed the stamp in force, which may come from a clock that is ahead.
+  replace(std::move(list), digest, std::max(wall, At + 1), wall);
   return true;
 }
 
 bool VmListInForce::wants(Stamp stamp, std::uint64_t digest, Stamp wall) const {
-  return digest != Digest && std::min(stamp, wall + MostAhead) > At;
+  return digest != Digest && std::min(stamp, wall + MaxClockAheadMs) > At;
 }
 
 bool VmListInForce::offerRelayed(std::vector<Member> list, Stamp stamp,
                                  Stamp wall) {
   std::sort(list.begin(), list.end());
   auto digest = digestOf(list);
-  auto bounded = std::min(stamp, wall + MostAhead);
+  auto bounded = std::min(stamp, wall + MaxClockAheadMs);
   if (digest == Digest) {
     At = std::max(At, bounded);
     return false;
   }
   if (!wants(stamp, digest, wall))
     return false;
-  take(std::move(list), digest, bounded, wall);
+  replace(std::move(list), digest, bounded, wall);
   return true;
 }
 
--- a/src/membership/vm_list.h
+++ b/src/membership/vm_list.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's list of VMs as it is in force at a daemon: polled by two
-/// daemons of each failure domain, relayed to the others.
+/// The platform's list of VMs in force at a daemon. Two daemons of each failure
+/// domain poll it and relay it to the others.
 
 #ifndef PERIDOTFALL_MEMBERSHIP_VM_LIST_H
 #define PERIDOTFALL_MEMBERSHIP_VM_LIST_H
@@ -13,18 +13,18 @@
 
 namespace peridotfall {
 
-/// Milliseconds of the system's clock. The list carries no version, so lists
-/// are ordered by when a daemon first saw them.
+/// Milliseconds of the system clock. The platform's list has no version, so
+/// lists are ordered by the time at which a daemon first received them.
 using Stamp = std::uint64_t;
 
 class VmListInForce {
 public:
-  /// Takes a list read from the platform. \return whether it is another one.
+  /// Applies a list read from the platform. \return whether the list changed.
   bool offerPolled(std::vector<Member> list, Stamp wall);
-  /// Takes a list relayed by another daemon. \return whether it is another.
+  /// Applies a list relayed by another daemon. \return whether it changed.
   bool offerRelayed(std::vector<Member> list, Stamp stamp, Stamp wall);
-  /// \return whether another daemon's list should be fetched; one that is the
-  /// same is not.
+  /// \return whether another daemon's list differs and is newer, so that it
+  /// should be fetched.
   bool wants(Stamp stamp, std::uint64_t digest, Stamp wall) const;
 
   Stamp stamp() const { return At; }
@@ -32,18 +32,18 @@
   const std::vector<Member> &list() const { return List; }
 
 private:
-  struct Replaced {
+  struct ReplacedList {
     std::uint64_t Digest = 0;
     Stamp At = 0;
   };
 
-  void take(std::vector<Member> list, std::uint64_t digest, Stamp stamp,
-            Stamp wall);
+  void replace(std::vector<Member> list, std::uint64_t digest, Stamp stamp,
+               Stamp wall);
 
   std::vector<Member> List;
   std::uint64_t Digest = 0;
   Stamp At = 0;
-  std::deque<Replaced> Past;
+  std::deque<ReplacedList> RecentlyReplaced;
 };
 
 } // namespace peridotfall
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -47,7 +47,7 @@
     return false;
   }
 
-  /// Probes for so long; the named VMs answer with these incarnations.
+  /// Probes for \p length; the VMs with an entry in \p answers answer with it.
   void run(Duration length,
            const std::map<std::string, MemberRecord> &answers) {
     for (auto end = Time.now() + length; Time.now() < end; Time.advance(100ms))
@@ -63,8 +63,9 @@
 
 } // namespace
 
-// A daemon dies; the platform's list still names it. Its owner's targets
-// would get no work until the list catches up, which may be half a minute.
+// A daemon fails while the platform still lists it. Without probes the targets
+// that it owns would get no work until the list is updated, which may take half
+// a minute.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, listed daemon silent, owns nothing") {
   list({"vm-1", "vm-2", "vm-3"});
@@ -86,19 +87,20 @@
 }
 
 // vm-2 was replaced: vm-9 now listens on its address and answers its probes.
-// Without looking at the name, vm-2 would count as alive for ever.
-TEST_CASE_FIXTURE(MembershipFixture,
-                  "membership, address taken by another VM, tells them apart") {
+// Without a check of the name, vm-2 would count as alive forever.
+TEST_CASE_FIXTURE(
+    MembershipFixture,
+    "membership, address reused by another VM, are distinguished") {
   list({"vm-1", "vm-2"});
   run(3s, {{"vm-2:1", record("vm-9", 7)}});
   CHECK_FALSE(isLive("vm-2"));
   CHECK(isLive("vm-9"));
 }
 
-// A suspected VM is replaced under its own name. A late answer and a late
-// suspicion of the forerunner must not count against its successor.
+// A suspected VM is replaced under the same name. A late answer or suspicion of
+// the previous incarnation must not count against the new one.
 TEST_CASE_FIXTURE(MembershipFixture,
-                  "membership, VM replaced under its name, starts afresh") {
+                  "membership, VM replaced under its name, is live again") {
   list({"vm-1", "vm-2"});
   View.takeContact(record("vm-2", 5, 3), Time.now());
   View.takeNews({record("vm-2", 5, 3, {VmName("a"), VmName("b")})}, Time.now());
@@ -111,7 +113,7 @@
   CHECK(isLive("vm-2"));
 }
 
-// One daemon with a broken link reports the whole fleet as lost.
+// A daemon with a broken link reports all others as unreachable.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, a single reporter, moves no ownership") {
   list({"vm-1", "vm-2", "vm-3"});
@@ -124,21 +126,21 @@
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, itself suspected, refutes by a new version") {
   View.takeNews({record("vm-1", 1, 0, {VmName("a"), VmName("b")})}, Time.now());
-  auto told = View.takeObserved();
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].Version == 1);
+  auto reported = View.takeObserved();
+  REQUIRE(reported.size() == 1);
+  CHECK(reported[0].Version == 1);
   Membership other(daemon("vm-2", 1), {}, 2);
   other.takeNews({record("vm-1", 1, 0, {VmName("a"), VmName("b")})},
                  Time.now());
   CHECK(other.isSuspected(VmName("vm-1")));
-  other.takeNews(told, Time.now());
+  other.takeNews(reported, Time.now());
   CHECK_FALSE(other.isSuspected(VmName("vm-1")));
 }
 
-// A paused daemon was suspected by this one, and wakes. Others still repeat
-// this daemon's old suspicion, which must not come back as its own.
+// This daemon suspected a paused one, which then resumes. Others still send
+// this daemon's old suspicion, which must not be merged as its own.
 TEST_CASE_FIXTURE(MembershipFixture,
-                  "membership, contact after a suspicion, holds it alive") {
+                  "membership, contact after a suspicion, is live") {
   list({"vm-1", "vm-2"});
   run(3s, {});
   CHECK_FALSE(isLive("vm-2"));
@@ -151,16 +153,16 @@
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, a daemon leaving, owns nothing and is live") {
   list({"vm-1", "vm-2"});
-  auto told = record("vm-2", 5, 1);
-  told.It.Leaving = true;
-  View.takeContact(told, Time.now());
+  auto reported = record("vm-2", 5, 1);
+  reported.It.Leaving = true;
+  View.takeContact(reported, Time.now());
   CHECK(isLive("vm-2"));
   CHECK_FALSE(ownsAnything("vm-2"));
 }
 
 TEST_CASE_FIXTURE(MembershipFixture,
-                  "membership, the list says leaving, outlasts the daemon's "
-                  "own word") {
+                  "membership, the list says leaving, overrides the daemon's "
+                  "own report") {
   auto leaving = daemon("vm-2");
   leaving.Leaving = true;
   View.takeList({leaving}, Time.now());
@@ -168,10 +170,10 @@
   CHECK_FALSE(ownsAnything("vm-2"));
 }
 
-// The list lags: a daemon just heard of is not in it yet, one long gone from
-// the platform is.
+// The platform's list lags: it lacks a daemon that has just started, and still
+// has one that is gone.
 TEST_CASE_FIXTURE(MembershipFixture,
-                  "membership, the list lags, keeps whom it heard of lately") {
+                  "membership, the list lags, keeps recently added daemons") {
   View.takeContact(record("vm-5", 5), Time.now());
   list({"vm-1"});
   CHECK(isLive("vm-5"));
@@ -180,7 +182,7 @@
   CHECK_FALSE(isLive("vm-5"));
 }
 
-// 1,700 daemons: what one probes a second stays what it is for ten.
+// With 1,700 daemons, each sends as many probes per second as with ten.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, 1,700 members, probes a few") {
   std::vector<Member> all;
@@ -199,8 +201,8 @@
   CHECK(probes <= 10 * 4);
 }
 
-// A daemon that has started anew is taken for its forerunner, which others
-// hold dead. The time of day went back between the two starts.
+// The clock was set back between two starts of a daemon. Without a higher
+// incarnation others would mistake it for its predecessor, which they suspect.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, own incarnation raised, never goes down") {
   auto before = View.self().It.Incarnation;
