--- a/src/messages/compression.cpp
+++ b/src/messages/compression.cpp
@@ -7,11 +7,10 @@
 
 namespace {
 
-/// Of the levels; higher ones take more of a small VM's time and memory than
-/// they save on its link.
-constexpr int Level = 1;
-/// Logarithm of the span in which repetitions are found: a base and a text of
-/// a megabyte each.
+/// Higher levels cost more CPU time and memory on a small VM than they save on
+/// its link.
+constexpr int CompressionLevel = 1;
+/// 2 MiB: a base and a text of one megabyte each must fit in the window.
 constexpr int WindowLog = 21;
 
 struct ContextDeleter {
@@ -28,7 +27,7 @@
 Result<std::string> compress(std::string_view text, std::string_view base) {
   std::unique_ptr<ZSTD_CCtx, ContextDeleter> context(ZSTD_createCCtx());
   auto *it = context.get();
-  ZSTD_CCtx_setParameter(it, ZSTD_c_compressionLevel, Level);
+  ZSTD_CCtx_setParameter(it, ZSTD_c_compressionLevel, CompressionLevel);
   ZSTD_CCtx_setParameter(it, ZSTD_c_windowLog, WindowLog);
   ZSTD_CCtx_setParameter(it, ZSTD_c_checksumFlag, 1);
   ZSTD_CCtx_refPrefix(it, base.data(), base.size());
@@ -42,11 +41,11 @@
 }
 
 Result<std::string> decompress(std::string_view frame, std::string_view base,
-                               std::size_t most) {
+                               std::size_t maxBytes) {
   auto size = ZSTD_getFrameContentSize(frame.data(), frame.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN)
-    return invalid("no frame of known size");
-  if (size > most)
+    return invalid("not a frame, or without a content size");
+  if (size > maxBytes)
     return invalid("too large");
   std::unique_ptr<ZSTD_DCtx, ContextDeleter> context(ZSTD_createDCtx());
   auto *it = context.get();
@@ -57,7 +56,7 @@
   if (ZSTD_isError(n) != 0)
     return invalid(ZSTD_getErrorName(n));
   if (n != out.size())
-    return invalid("shorter than it says");
+    return invalid("content is shorter than declared");
   return out;
 }
 
--- a/src/messages/compression.h
+++ b/src/messages/compression.h
@@ -1,5 +1,5 @@
 /// \file
-/// Zstandard frames of texts, whole or as the difference from another text.
+/// Zstandard compression of texts, optionally as a delta against a base text.
 
 #ifndef PERIDOTFALL_MESSAGES_COMPRESSION_H
 #define PERIDOTFALL_MESSAGES_COMPRESSION_H
@@ -11,13 +11,13 @@
 
 namespace peridotfall::messages {
 
-/// \param base a text that the receiver has; empty: none.
+/// \param base a text that the receiver has, used as prefix; empty: none.
 Result<std::string> compress(std::string_view text, std::string_view base);
 
-/// \param most bytes of the text; more is Invalid.
-/// \return Invalid where \p frame is not one, or of another base.
+/// \param maxBytes limit of the decompressed size; a larger text is Invalid.
+/// \return Invalid if \p frame is malformed or was made with another base.
 Result<std::string> decompress(std::string_view frame, std::string_view base,
-                               std::size_t most);
+                               std::size_t maxBytes);
 
 } // namespace peridotfall::messages
 
--- a/src/messages/copy.cpp
+++ b/src/messages/copy.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 Error malformed() {
-  return {ErrorCode::Invalid, "inner message: not of this protocol"};
+  return {ErrorCode::Invalid, "inner message: malformed or value out of range"};
 }
 
-/// Bytes of one object's spec, unpacked.
-constexpr std::size_t MaxSpec = 4 << 20;
+/// Limit of an object's spec after decompression.
+constexpr std::size_t MaxSpecBytes = 4 << 20;
 
-void put(const proxy::StoredObject &it, const PackSpec &pack,
-         copy::StoredObject &out) {
+void toProto(const proxy::StoredObject &it, const PackSpec &pack,
+             copy::StoredObject &out) {
   out.set_name(it.Name);
   auto packed = pack ? pack(it) : std::nullopt;
   if (packed) {
@@ -28,21 +28,23 @@
   out.set_deleted(it.Deleted);
 }
 
-Result<std::string> takeSpec(const copy::StoredObject &in,
-                             const FindHeld &held) {
+Result<std::string> readSpec(const copy::StoredObject &in,
+                             const FindHeld &findCached) {
   if (in.packed().empty())
     return in.spec();
   if (in.packed_against() == 0)
-    return decompress(in.packed(), "", MaxSpec);
-  const auto *base = held ? held({in.name(), in.packed_against()}) : nullptr;
+    return decompress(in.packed(), "", MaxSpecBytes);
+  const auto *base =
+      findCached ? findCached({in.name(), in.packed_against()}) : nullptr;
   if (!base)
-    return Error{ErrorCode::NotFound, in.name() + ": no longer held as named"};
-  return decompress(in.packed(), *base, MaxSpec);
+    return Error{ErrorCode::NotFound,
+                 in.name() + ": the base revision is no longer cached"};
+  return decompress(in.packed(), *base, MaxSpecBytes);
 }
 
-Result<proxy::StoredObject> take(const copy::StoredObject &in,
-                                 const FindHeld &held) {
-  auto spec = takeSpec(in, held);
+Result<proxy::StoredObject> fromProto(const copy::StoredObject &in,
+                                      const FindHeld &findCached) {
+  auto spec = readSpec(in, findCached);
   if (!spec)
     return spec.error();
   return proxy::StoredObject{in.name(), std::move(spec.value()), in.revision(),
@@ -50,15 +52,15 @@
 }
 
 template <class Request>
-void putHeld(const std::vector<HeldObject> &held, Request &out) {
-  for (const auto &it : held) {
+void writeCached(const std::vector<HeldObject> &cached, Request &out) {
+  for (const auto &it : cached) {
     auto *object = out.add_held();
     object->set_name(it.Name);
     object->set_revision(it.Revision);
   }
 }
 
-template <class Request> std::vector<HeldObject> takeHeld(const Request &in) {
+template <class Request> std::vector<HeldObject> readCached(const Request &in) {
   std::vector<HeldObject> out;
   for (const auto &it : in.held())
     out.push_back({it.name(), it.revision()});
@@ -71,7 +73,7 @@
   copy::CopyRequest out;
   out.set_kind(it.Kind);
   out.set_newer_than(it.NewerThan);
-  putHeld(it.Held, out);
+  writeCached(it.Held, out);
   out.set_takes_packed(it.TakesPacked);
   return out.SerializeAsString();
 }
@@ -80,7 +82,7 @@
   copy::CopyRequest in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  return CopyRequest{in.kind(), in.newer_than(), takeHeld(in),
+  return CopyRequest{in.kind(), in.newer_than(), readCached(in),
                      in.takes_packed()};
 }
 
@@ -88,19 +90,19 @@
   copy::CopyAnswer out;
   out.set_revision(it.Revision);
   for (const auto &[name, object] : it.Objects)
-    put(object, pack, *out.add_objects());
+    toProto(object, pack, *out.add_objects());
   return out.SerializeAsString();
 }
 
 Result<CopyAnswer> decodeCopyAnswer(const std::string &bytes,
-                                    const FindHeld &held) {
+                                    const FindHeld &findCached) {
   copy::CopyAnswer in;
   if (!in.ParseFromString(bytes))
     return malformed();
   CopyAnswer out;
   out.Revision = in.revision();
   for (const auto &it : in.objects()) {
-    auto object = take(it, held);
+    auto object = fromProto(it, findCached);
     if (!object)
       return object.error();
     out.Objects[it.name()] = std::move(object.value());
@@ -113,7 +115,7 @@
   out.set_kind(it.Kind);
   out.set_newer_than(it.NewerThan);
   out.set_wait_us(toMicros(it.Wait));
-  putHeld(it.Held, out);
+  writeCached(it.Held, out);
   out.set_takes_packed(it.TakesPacked);
   return out.SerializeAsString();
 }
@@ -123,7 +125,7 @@
   if (!in.ParseFromString(bytes))
     return malformed();
   return WatchRequest{in.kind(), in.newer_than(), fromMicros(in.wait_us()),
-                      takeHeld(in), in.takes_packed()};
+                      readCached(in), in.takes_packed()};
 }
 
 std::string encode(const WatchAnswer &it, const PackSpec &pack) {
@@ -131,23 +133,23 @@
   out.set_outcome(static_cast<std::uint32_t>(it.Changes.Outcome));
   out.set_revision(it.Changes.Revision);
   for (const auto &object : it.Changes.Objects)
-    put(object, pack, *out.add_objects());
+    toProto(object, pack, *out.add_objects());
   out.set_age_us(toMicros(it.Age));
   return out.SerializeAsString();
 }
 
 Result<WatchAnswer> decodeWatchAnswer(const std::string &bytes,
-                                      const FindHeld &held) {
+                                      const FindHeld &findCached) {
   copy::WatchAnswer in;
-  constexpr auto Most =
+  constexpr auto MaxOutcome =
       static_cast<std::uint32_t>(proxy::ReadOutcome::Unavailable);
-  if (!in.ParseFromString(bytes) || in.outcome() > Most)
+  if (!in.ParseFromString(bytes) || in.outcome() > MaxOutcome)
     return malformed();
   WatchAnswer out;
   out.Changes.Outcome = static_cast<proxy::ReadOutcome>(in.outcome());
   out.Changes.Revision = in.revision();
   for (const auto &it : in.objects()) {
-    auto object = take(it, held);
+    auto object = fromProto(it, findCached);
     if (!object)
       return object.error();
     out.Changes.Objects.push_back(std::move(object.value()));
--- a/src/messages/copy.h
+++ b/src/messages/copy.h
@@ -1,5 +1,6 @@
 /// \file
-/// The inner protocol, about copies of what the platform's store holds.
+/// Messages of the inner protocol: snapshots and changes of the platform's
+/// stored objects, sent between daemons.
 
 #ifndef PERIDOTFALL_MESSAGES_COPY_H
 #define PERIDOTFALL_MESSAGES_COPY_H
@@ -16,7 +17,7 @@
 
 inline constexpr auto CopyPath = "/inner/v1/copy";
 
-/// A large object that the asking daemon has.
+/// A large object in the requester's cache, usable as base for a delta.
 struct HeldObject {
   std::string Name;
   std::uint64_t Revision = 0;
@@ -24,23 +25,23 @@
   auto operator<=>(const HeldObject &) const = default;
 };
 
-/// An object's spec, compressed.
+/// The compressed spec of an object.
 struct PackedSpec {
   std::string Frame;
-  std::uint64_t Against = 0; ///< Revision of the held object; 0: of none.
+  std::uint64_t Against = 0; ///< Revision used as base; 0: none.
 
   auto operator<=>(const PackedSpec &) const = default;
 };
 
-/// \return how the object is sent; nothing: as it is.
+/// \return the compressed spec to send; nothing: the spec is sent as it is.
 using PackSpec =
     std::function<std::optional<PackedSpec>(const proxy::StoredObject &)>;
-/// \return the spec that was named as held, while it still is; nullptr: none.
+/// \return the cached spec of that revision; nullptr if no longer cached.
 using FindHeld = std::function<const std::string *(const HeldObject &)>;
 
 struct CopyRequest {
   std::string Kind;
-  std::uint64_t NewerThan = 0; ///< Revision that the asking daemon has.
+  std::uint64_t NewerThan = 0; ///< Revision that the requester has.
   std::vector<HeldObject> Held{};
   bool TakesPacked = false;
 
@@ -48,7 +49,7 @@
 };
 
 struct CopyAnswer {
-  std::uint64_t Revision = 0; ///< 0: nothing newer is known.
+  std::uint64_t Revision = 0; ///< 0: nothing newer.
   proxy::Objects Objects;
 
   auto operator<=>(const CopyAnswer &) const = default;
@@ -56,11 +57,12 @@
 
 inline constexpr auto WatchPath = "/inner/v1/watch";
 
-/// Asks for the changes of a kind; held until there are some.
+/// Requests the changes of a kind. The answer is delayed until there are some
+/// or the wait ends.
 struct WatchRequest {
   std::string Kind;
-  std::uint64_t NewerThan = 0; ///< Revision that the asking daemon has.
-  Duration Wait{};             ///< Longest, for a change.
+  std::uint64_t NewerThan = 0; ///< Revision that the requester has.
+  Duration Wait{};             ///< Maximum time until the answer.
   std::vector<HeldObject> Held{};
   bool TakesPacked = false;
 
@@ -69,7 +71,7 @@
 
 struct WatchAnswer {
   proxy::ObjectChanges Changes;
-  Duration Age{}; ///< Since the store last answered the daemon asked.
+  Duration Age{}; ///< Since the store last answered the responder.
 };
 
 std::string encode(const CopyRequest &it);
@@ -78,10 +80,10 @@
 std::string encode(const WatchAnswer &it, const PackSpec &pack = nullptr);
 Result<CopyRequest> decodeCopyRequest(const std::string &bytes);
 Result<CopyAnswer> decodeCopyAnswer(const std::string &bytes,
-                                    const FindHeld &held = nullptr);
+                                    const FindHeld &findCached = nullptr);
 Result<WatchRequest> decodeWatchRequest(const std::string &bytes);
 Result<WatchAnswer> decodeWatchAnswer(const std::string &bytes,
-                                      const FindHeld &held = nullptr);
+                                      const FindHeld &findCached = nullptr);
 
 } // namespace peridotfall::messages
 
--- a/src/messages/group_view.cpp
+++ b/src/messages/group_view.cpp
@@ -10,11 +10,12 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-/// Past this a sum with the clock could overflow; no answer is that old.
-constexpr std::uint64_t OldestAge = 365ULL * 86'400 * 1'000'000;
+/// One year, more than any answer's age. Larger values could overflow when
+/// added to a time point.
+constexpr std::uint64_t MaxAgeMicros = 365ULL * 86'400 * 1'000'000;
 
 Error malformed() {
-  return {ErrorCode::Invalid, "group view: not a message of this protocol"};
+  return {ErrorCode::Invalid, "group view: malformed message"};
 }
 
 } // namespace
@@ -30,15 +31,15 @@
   inner::GroupViewAnswer out;
   out.set_database(it.Database.Value);
   out.set_vm(it.Vm.Value);
-  for (const auto &[name, sight] : it.Seen) {
+  for (const auto &[name, observation] : it.Seen) {
     auto *target = out.add_targets();
     target->set_target(name.Value);
-    target->set_reachable(sight.Reachable);
-    target->set_primary(sight.Report.IsPrimary);
-    target->set_term(sight.Report.CurrentTerm);
-    target->mutable_last()->set_term(sight.Report.Last.InTerm);
-    target->mutable_last()->set_index(sight.Report.Last.Index);
-    auto age = duration_cast<microseconds>(sight.Age).count();
+    target->set_reachable(observation.Reachable);
+    target->set_primary(observation.Report.IsPrimary);
+    target->set_term(observation.Report.CurrentTerm);
+    target->mutable_last()->set_term(observation.Report.Last.InTerm);
+    target->mutable_last()->set_index(observation.Report.Last.Index);
+    auto age = duration_cast<microseconds>(observation.Age).count();
     target->set_age_us(
         static_cast<std::uint64_t>(std::max<std::int64_t>(age, 0)));
   }
@@ -64,12 +65,12 @@
   it.Database = DatabaseName(in.database());
   it.Vm = VmName(in.vm());
   for (const auto &target : in.targets()) {
-    auto &sight = it.Seen[TargetName(target.target())];
-    sight.Reachable = target.reachable();
-    sight.Report.IsPrimary = target.primary();
-    sight.Report.CurrentTerm = target.term();
-    sight.Report.Last = {target.last().term(), target.last().index()};
-    sight.Age = microseconds(std::min(target.age_us(), OldestAge));
+    auto &observation = it.Seen[TargetName(target.target())];
+    observation.Reachable = target.reachable();
+    observation.Report.IsPrimary = target.primary();
+    observation.Report.CurrentTerm = target.term();
+    observation.Report.Last = {target.last().term(), target.last().index()};
+    observation.Age = microseconds(std::min(target.age_us(), MaxAgeMicros));
   }
   if (!in.object().empty()) {
     auto object = failover::parseGroupObject(in.object());
--- a/src/messages/group_view.h
+++ b/src/messages/group_view.h
@@ -1,5 +1,5 @@
 /// \file
-/// The inner protocol's exchange of views on a group's targets.
+/// Messages of the inner protocol: the owners' views of a group's targets.
 
 #ifndef PERIDOTFALL_MESSAGES_GROUP_VIEW_H
 #define PERIDOTFALL_MESSAGES_GROUP_VIEW_H
@@ -11,16 +11,16 @@
 
 struct GroupViewRequest {
   DatabaseName Database;
-  std::uint64_t ObjectVersion = 0; ///< Of the object that the asker knows.
+  std::uint64_t ObjectVersion = 0; ///< That the requester knows.
 
   auto operator<=>(const GroupViewRequest &) const = default;
 };
 
 struct GroupViewAnswer {
   DatabaseName Database;
-  VmName Vm; ///< Whose view it is.
+  VmName Vm; ///< The daemon with this view.
   failover::Sights Seen;
-  std::optional<failover::VersionedObject> Object; ///< A newer one.
+  std::optional<failover::VersionedObject> Object; ///< If newer.
 
   auto operator<=>(const GroupViewAnswer &) const = default;
 };
--- a/src/messages/inner.cpp
+++ b/src/messages/inner.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-void put(inner::Position *out, const Position &it) {
+void toProto(inner::Position *out, const Position &it) {
   out->set_term(it.InTerm);
   out->set_index(it.Index);
 }
 
-Position take(const inner::Position &it) { return {it.term(), it.index()}; }
+Position fromProto(const inner::Position &it) {
+  return {it.term(), it.index()};
+}
 
-void put(inner::Value *out, const Value &it) {
+void toProto(inner::Value *out, const Value &it) {
   std::visit(
       [&](const auto &v) {
         using T = std::decay_t<decltype(v)>;
@@ -32,7 +34,7 @@
       it);
 }
 
-Value take(const inner::Value &it) {
+Value fromProto(const inner::Value &it) {
   switch (it.kind_case()) {
   case inner::Value::kInteger:
     return std::int64_t{it.integer()};
@@ -48,21 +50,21 @@
   return Null{};
 }
 
-void put(inner::Row *out, const Row &row) {
+void toProto(inner::Row *out, const Row &row) {
   for (const auto &it : row)
-    put(out->add_values(), it);
+    toProto(out->add_values(), it);
 }
 
-Row take(const inner::Row &row) {
+Row fromProto(const inner::Row &row) {
   Row out;
   out.reserve(static_cast<std::size_t>(row.values_size()));
   for (const auto &it : row.values())
-    out.push_back(take(it));
+    out.push_back(fromProto(it));
   return out;
 }
 
 Error malformed() {
-  return {ErrorCode::Invalid, "inner message: not of this protocol"};
+  return {ErrorCode::Invalid, "inner message: malformed or value out of range"};
 }
 
 } // namespace
@@ -77,10 +79,10 @@
   out.set_kind(it.Kind.Value);
   out.set_access(static_cast<std::uint32_t>(it.Mode));
   out.set_term(it.InTerm);
-  put(out.mutable_not_before(), it.NotBefore);
+  toProto(out.mutable_not_before(), it.NotBefore);
   out.set_max_age_us(toMicros(it.MaxAge));
   out.set_sql(it.Sql);
-  put(out.mutable_params(), it.Params);
+  toProto(out.mutable_params(), it.Params);
   out.set_key(it.Key);
   out.set_repeatable(it.Repeatable);
   out.set_transaction(it.Transaction);
@@ -105,10 +107,10 @@
   it.Kind = KindName(in.kind());
   it.Mode = static_cast<Access>(in.access());
   it.InTerm = in.term();
-  it.NotBefore = take(in.not_before());
+  it.NotBefore = fromProto(in.not_before());
   it.MaxAge = fromMicros(in.max_age_us());
   it.Sql = in.sql();
-  it.Params = take(in.params());
+  it.Params = fromProto(in.params());
   it.Key = in.key();
   it.Repeatable = in.repeatable();
   it.Transaction = in.transaction();
@@ -127,9 +129,9 @@
   for (const auto &column : it.Columns)
     out.add_columns(column);
   for (const auto &row : it.Rows)
-    put(out.add_rows(), row);
+    toProto(out.add_rows(), row);
   out.set_changes(it.Changes);
-  put(out.mutable_at(), it.At);
+  toProto(out.mutable_at(), it.At);
   out.set_served_by(it.ServedBy.Value);
   out.set_primary(it.Primary.Value);
   out.set_age_us(toMicros(it.Age));
@@ -153,9 +155,9 @@
   it.Detail = in.detail();
   it.Columns.assign(in.columns().begin(), in.columns().end());
   for (const auto &row : in.rows())
-    it.Rows.push_back(take(row));
+    it.Rows.push_back(fromProto(row));
   it.Changes = in.changes();
-  it.At = take(in.at());
+  it.At = fromProto(in.at());
   it.ServedBy = TargetName(in.served_by());
   it.Primary = TargetName(in.primary());
   it.Age = fromMicros(in.age_us());
--- a/src/messages/lease.cpp
+++ b/src/messages/lease.cpp
@@ -10,117 +10,119 @@
 namespace {
 
 Error malformed() {
-  return {ErrorCode::Invalid, "inner message: not of this protocol"};
+  return {ErrorCode::Invalid, "inner message: malformed or value out of range"};
 }
 
-/// \return whether the number names a value of the enumeration.
-template <class E> bool takeEnum(std::uint32_t n, E last, E &out) {
+/// \return whether the number is a value of the enumeration.
+template <class E> bool parseEnum(std::uint32_t n, E last, E &out) {
   out = static_cast<E>(n);
   return n <= static_cast<std::uint32_t>(last);
 }
 
-void put(lease::LogPosition *out, const Position &it) {
+void toProto(lease::LogPosition *out, const Position &it) {
   out->set_term(it.InTerm);
   out->set_index(it.Index);
 }
 
-Position take(const lease::LogPosition &it) { return {it.term(), it.index()}; }
+Position fromProto(const lease::LogPosition &it) {
+  return {it.term(), it.index()};
+}
 
-void put(lease::PreparedBody *out, const proxy::Prepared &it) {
+void toProto(lease::PreparedBody *out, const proxy::Prepared &it) {
   out->set_writes(it.Writes);
   out->set_shape(it.Shape);
 }
 
-proxy::Prepared take(const lease::PreparedBody &it) {
+proxy::Prepared fromProto(const lease::PreparedBody &it) {
   return {it.writes(), it.shape()};
 }
 
-void put(lease::Statement *out, const proxy::Statement &it) {
+void toProto(lease::Statement *out, const proxy::Statement &it) {
   out->set_kind(static_cast<std::uint32_t>(it.Kind));
   out->set_id(it.Id);
   out->set_text(it.Text);
   out->set_name(it.Name);
   out->set_argument(it.Argument);
-  put(out->mutable_body(), it.Body);
+  toProto(out->mutable_body(), it.Body);
   if (it.NotBefore)
-    put(out->mutable_not_before(), *it.NotBefore);
+    toProto(out->mutable_not_before(), *it.NotBefore);
 }
 
-bool take(const lease::Statement &in, proxy::Statement &out) {
+bool fromProto(const lease::Statement &in, proxy::Statement &out) {
   out.Id = in.id();
   out.Text = in.text();
   out.Name = in.name();
   out.Argument = in.argument();
-  out.Body = take(in.body());
+  out.Body = fromProto(in.body());
   if (in.has_not_before())
-    out.NotBefore = take(in.not_before());
-  return takeEnum(in.kind(), proxy::StatementKind::Unknown, out.Kind);
+    out.NotBefore = fromProto(in.not_before());
+  return parseEnum(in.kind(), proxy::StatementKind::Unknown, out.Kind);
 }
 
-void put(lease::Batch *out, const proxy::Batch &it) {
+void toProto(lease::Batch *out, const proxy::Batch &it) {
   for (const auto &[name, value] : it.Session) {
     auto *next = out->add_session();
     next->set_name(name);
     next->set_value(value);
   }
   for (const auto &body : it.Needs)
-    put(out->add_needs(), body);
+    toProto(out->add_needs(), body);
   for (const auto &statement : it.Statements)
-    put(out->add_statements(), statement);
+    toProto(out->add_statements(), statement);
   out->set_ends_lease(it.EndsLease);
   out->set_patience_us(toMicros(it.Patience));
 }
 
-bool take(const lease::Batch &in, proxy::Batch &out) {
+bool fromProto(const lease::Batch &in, proxy::Batch &out) {
   for (const auto &value : in.session())
     out.Session[value.name()] = value.value();
   for (const auto &body : in.needs())
-    out.Needs.push_back(take(body));
+    out.Needs.push_back(fromProto(body));
   for (const auto &statement : in.statements())
-    if (!take(statement, out.Statements.emplace_back()))
+    if (!fromProto(statement, out.Statements.emplace_back()))
       return false;
   out.EndsLease = in.ends_lease();
   out.Patience = fromMicros(in.patience_us());
   return !out.Statements.empty();
 }
 
-void put(lease::StatementError *out, const proxy::StatementError &it) {
+void toProto(lease::StatementError *out, const proxy::StatementError &it) {
   out->set_kind(static_cast<std::uint32_t>(it.Kind));
   out->set_detail(it.Detail);
 }
 
-bool take(const lease::StatementError &in, proxy::StatementError &out) {
+bool fromProto(const lease::StatementError &in, proxy::StatementError &out) {
   out.Detail = in.detail();
-  return takeEnum(in.kind(), proxy::ErrorKind::Other, out.Kind);
+  return parseEnum(in.kind(), proxy::ErrorKind::Other, out.Kind);
 }
 
-void put(lease::Answer *out, const proxy::Answer &it) {
+void toProto(lease::Answer *out, const proxy::Answer &it) {
   for (const auto &row : it.Rows)
     out->add_rows(row);
   out->set_signature(it.Signature);
   if (it.Error)
-    put(out->mutable_error(), *it.Error);
+    toProto(out->mutable_error(), *it.Error);
   out->set_state(static_cast<std::uint32_t>(it.State));
   if (it.At)
-    put(out->mutable_at(), *it.At);
+    toProto(out->mutable_at(), *it.At);
   if (!it.Status)
     return;
   out->mutable_status()->set_primary(it.Status->IsPrimary);
   out->mutable_status()->set_term(it.Status->CurrentTerm);
-  put(out->mutable_status()->mutable_received(), it.Status->Received);
+  toProto(out->mutable_status()->mutable_received(), it.Status->Received);
 }
 
-bool take(const lease::Answer &in, proxy::Answer &out) {
+bool fromProto(const lease::Answer &in, proxy::Answer &out) {
   out.Rows.assign(in.rows().begin(), in.rows().end());
   out.Signature = in.signature();
-  if (in.has_error() && !take(in.error(), out.Error.emplace()))
+  if (in.has_error() && !fromProto(in.error(), out.Error.emplace()))
     return false;
   if (in.has_at())
-    out.At = take(in.at());
+    out.At = fromProto(in.at());
   if (in.has_status())
     out.Status = {in.status().primary(), in.status().term(),
-                  take(in.status().received())};
-  return takeEnum(in.state(), proxy::TransactionState::Failed, out.State);
+                  fromProto(in.status().received())};
+  return parseEnum(in.state(), proxy::TransactionState::Failed, out.State);
 }
 
 } // namespace
@@ -135,14 +137,14 @@
     out.set_goal_left_us(std::chrono::duration_cast<std::chrono::microseconds>(
                              *it.Request.GoalLeft)
                              .count());
-  put(out.mutable_first(), it.First);
+  toProto(out.mutable_first(), it.First);
   return out.SerializeAsString();
 }
 
 Result<BeginLease> decodeBeginLease(const std::string &bytes) {
   lease::BeginLease in;
   BeginLease out;
-  if (!in.ParseFromString(bytes) || !take(in.first(), out.First))
+  if (!in.ParseFromString(bytes) || !fromProto(in.first(), out.First))
     return malformed();
   out.Request = {TargetName(in.target()),
                  in.priority(),
@@ -157,14 +159,14 @@
 std::string encode(const RunLease &it) {
   lease::RunLease out;
   out.set_lease(it.Lease.Value);
-  put(out.mutable_next(), it.Next);
+  toProto(out.mutable_next(), it.Next);
   return out.SerializeAsString();
 }
 
 Result<RunLease> decodeRunLease(const std::string &bytes) {
   lease::RunLease in;
   RunLease out;
-  if (!in.ParseFromString(bytes) || !take(in.next(), out.Next))
+  if (!in.ParseFromString(bytes) || !fromProto(in.next(), out.Next))
     return malformed();
   out.Lease = {in.lease()};
   return out;
@@ -187,8 +189,8 @@
   lease::BatchResult out;
   out.set_end(static_cast<std::uint32_t>(it.Result.End));
   for (const auto &answer : it.Result.Answers)
-    put(out.add_answers(), answer);
-  put(out.mutable_why(), it.Result.Why);
+    toProto(out.add_answers(), answer);
+  toProto(out.mutable_why(), it.Result.Why);
   out.set_lease(it.Result.Kept ? it.Lease.Value : 0);
   out.set_target_unreachable(it.Result.TargetUnreachable);
   out.set_queue_full(it.Result.QueueFull);
@@ -199,10 +201,10 @@
   lease::BatchResult in;
   LeaseAnswer out;
   bool fits = in.ParseFromString(bytes) &&
-              takeEnum(in.end(), proxy::BatchEnd::Lost, out.Result.End) &&
-              take(in.why(), out.Result.Why);
+              parseEnum(in.end(), proxy::BatchEnd::Lost, out.Result.End) &&
+              fromProto(in.why(), out.Result.Why);
   for (const auto &answer : in.answers())
-    fits = fits && take(answer, out.Result.Answers.emplace_back());
+    fits = fits && fromProto(answer, out.Result.Answers.emplace_back());
   if (!fits)
     return malformed();
   out.Lease = {in.lease()};
--- a/src/messages/lease.h
+++ b/src/messages/lease.h
@@ -1,6 +1,6 @@
 /// \file
-/// The inner protocol, about target connections that another daemon holds and
-/// about its sight of a primary.
+/// Messages of the inner protocol: use of target connections held by another
+/// daemon, and queries for its view of a primary.
 
 #ifndef PERIDOTFALL_MESSAGES_LEASE_H
 #define PERIDOTFALL_MESSAGES_LEASE_H
@@ -38,10 +38,10 @@
   auto operator<=>(const AbandonLease &) const = default;
 };
 
-/// The answer to the first two.
+/// Answer to BeginLease and RunLease.
 struct LeaseAnswer {
   proxy::BatchResult Result;
-  proxy::LeaseId Lease; ///< To go on with, where it was kept.
+  proxy::LeaseId Lease; ///< For the next RunLease, if kept.
 
   auto operator<=>(const LeaseAnswer &) const = default;
 };
@@ -52,10 +52,10 @@
   auto operator<=>(const LeadQuestion &) const = default;
 };
 
-/// A daemon's word on whether it reaches a group's primary.
+/// A daemon's report on whether it reaches a group's primary.
 struct LeadView {
-  bool Known = false;   ///< The daemon has heard of the group.
-  bool Reaches = false; ///< Its primary answered it lately.
+  bool Known = false;   ///< The daemon knows the group.
+  bool Reaches = false; ///< The primary answered it recently.
 
   auto operator<=>(const LeadView &) const = default;
 };
@@ -67,8 +67,7 @@
 std::string encode(const LeadQuestion &it);
 std::string encode(const LeadView &it);
 
-/// \return Invalid where the bytes or a number of an enumeration are not of
-/// this protocol.
+/// \return Invalid if the message is malformed or an enum value is unknown.
 Result<BeginLease> decodeBeginLease(const std::string &bytes);
 Result<RunLease> decodeRunLease(const std::string &bytes);
 Result<AbandonLease> decodeAbandonLease(const std::string &bytes);
--- a/src/messages/news.cpp
+++ b/src/messages/news.cpp
@@ -1,4 +1,4 @@
-// Messages of the membership and the configuration.
+// Encoding of membership and configuration messages.
 
 #include "messages/inner.h"
 
@@ -8,7 +8,7 @@
 
 Error malformed() { return {ErrorCode::Invalid, "inner message: malformed"}; }
 
-void put(inner::PeerState *out, const Member &it) {
+void toProto(inner::PeerState *out, const Member &it) {
   out->set_vm(it.Vm.Value);
   out->set_domain(it.Domain.Value);
   out->set_region(it.Region.Value);
@@ -19,7 +19,7 @@
   out->set_link_mbps(it.LinkMbps);
 }
 
-Member take(const inner::PeerState &in) {
+Member fromProto(const inner::PeerState &in) {
   Member it;
   it.Vm = VmName(in.vm());
   it.Domain = DomainName(in.domain());
@@ -32,16 +32,16 @@
   return it;
 }
 
-void put(inner::MemberState *out, const MemberRecord &it) {
-  put(out->mutable_member(), it.It);
+void toProto(inner::MemberState *out, const MemberRecord &it) {
+  toProto(out->mutable_member(), it.It);
   out->set_version(it.Version);
   for (const auto &vm : it.Suspecting)
     out->add_suspecting(vm.Value);
 }
 
-MemberRecord take(const inner::MemberState &in) {
+MemberRecord fromProto(const inner::MemberState &in) {
   MemberRecord it;
-  it.It = take(in.member());
+  it.It = fromProto(in.member());
   it.Version = in.version();
   for (const auto &vm : in.suspecting())
     it.Suspecting.insert(VmName(vm));
@@ -52,7 +52,7 @@
 
 std::string encode(const PeerInfo &it) {
   inner::PeerState out;
-  put(&out, it.Self);
+  toProto(&out, it.Self);
   out.set_revision(it.Revision);
   return out.SerializeAsString();
 }
@@ -61,17 +61,17 @@
   inner::PeerState in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  return PeerInfo{take(in), in.revision()};
+  return PeerInfo{fromProto(in), in.revision()};
 }
 
 std::string encode(const News &it) {
   inner::News out;
-  put(out.mutable_from(), it.From);
+  toProto(out.mutable_from(), it.From);
   out.set_revision(it.Revision);
   out.set_list_stamp(it.ListStamp);
   out.set_list_digest(it.ListDigest);
   for (const auto &record : it.Members)
-    put(out.add_members(), record);
+    toProto(out.add_members(), record);
   out.set_tree_id(it.TreeId);
   out.set_tree_root(it.Along.Root.Value);
   out.set_domain_only(it.Along.DomainOnly);
@@ -84,13 +84,13 @@
   if (!in.ParseFromString(bytes) || in.from().member().vm().empty())
     return malformed();
   News it;
-  it.From = take(in.from());
+  it.From = fromProto(in.from());
   it.Revision = in.revision();
   it.ListStamp = in.list_stamp();
   it.ListDigest = in.list_digest();
   for (const auto &record : in.members())
     if (!record.member().vm().empty())
-      it.Members.push_back(take(record));
+      it.Members.push_back(fromProto(record));
   it.TreeId = in.tree_id();
   it.Along = {VmName(in.tree_root()), in.domain_only()};
   it.Holder = in.holder();
@@ -101,7 +101,7 @@
   inner::VmList out;
   out.set_stamp(it.Stamp);
   for (const auto &member : it.Members)
-    put(out.add_members(), member);
+    toProto(out.add_members(), member);
   return out.SerializeAsString();
 }
 
@@ -114,7 +114,7 @@
   for (const auto &member : in.members()) {
     if (member.vm().empty())
       return malformed();
-    it.Members.push_back(take(member));
+    it.Members.push_back(fromProto(member));
   }
   return it;
 }
--- a/src/messages/time.h
+++ b/src/messages/time.h
@@ -1,5 +1,5 @@
 /// \file
-/// Spans of time in messages: whole microseconds.
+/// Conversion of durations to whole microseconds for messages.
 
 #ifndef PERIDOTFALL_MESSAGES_TIME_H
 #define PERIDOTFALL_MESSAGES_TIME_H
@@ -16,18 +16,18 @@
   return n < 0 ? 0 : static_cast<std::uint64_t>(n);
 }
 
-/// Past this a sum with the clock could overflow; no wait is that long.
-inline constexpr std::int64_t LongestMicros = 365LL * 86'400 * 1'000'000;
+/// One year, more than any wait. Larger values could overflow when added to a
+/// time point.
+inline constexpr std::int64_t MaxMicros = 365LL * 86'400 * 1'000'000;
 
 inline Duration fromMicros(std::uint64_t n) {
-  constexpr auto Longest = static_cast<std::uint64_t>(LongestMicros);
-  return std::chrono::microseconds(std::min(n, Longest));
+  constexpr auto Max = static_cast<std::uint64_t>(MaxMicros);
+  return std::chrono::microseconds(std::min(n, Max));
 }
 
-/// Of a span that may be over already.
+/// For a duration that may be negative, such as the time to a past deadline.
 inline Duration fromSignedMicros(std::int64_t n) {
-  return std::chrono::microseconds(
-      std::clamp(n, -LongestMicros, LongestMicros));
+  return std::chrono::microseconds(std::clamp(n, -MaxMicros, MaxMicros));
 }
 
 } // namespace peridotfall::messages
