--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -1,6 +1,6 @@
-// Gap of writes when a primary fails, beside leases at the platform; false
-// failovers; and the time that confirmation adds. In virtual time, at the
-// sizes of both deployments.
+// Measures, in virtual time and at the sizes of both deployments: how long
+// writes are interrupted when a primary fails, compared with leases at the
+// platform; failovers without a failure; and the delay that confirmation adds.
 
 #include "failover/confirmation.h"
 #include "failover/simulation.h"
@@ -15,218 +15,228 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds WriteEvery{10};
-constexpr std::chrono::milliseconds EntryRetry{25};
-constexpr std::chrono::milliseconds LeaseLength{3'000};
-constexpr std::chrono::milliseconds LeaseRenewal{1'000};
-constexpr std::chrono::seconds LongestGap{60};
+constexpr std::chrono::milliseconds WriteInterval{10};
+constexpr std::chrono::milliseconds EntryRetryDelay{25};
+constexpr std::chrono::milliseconds LeaseDuration{3'000};
+constexpr std::chrono::milliseconds LeaseRenewalInterval{1'000};
+constexpr std::chrono::seconds MaxGap{60};
 
-enum class Death { Process, Frozen, Domain };
+enum class PrimaryFailure { ProcessDead, ProcessFrozen, TargetAndOwnerDead };
 
 struct Percentiles {
   double Median = 0;
   double P99 = 0;
-  double Most = 0;
+  double Max = 0;
 };
 
 Percentiles summarise(std::vector<Duration> all) {
   if (all.empty())
     return {};
   std::sort(all.begin(), all.end());
-  auto at = [&](double share) {
-    auto n = static_cast<std::size_t>(share * static_cast<double>(all.size()));
+  auto valueAt = [&](double fraction) {
+    auto n =
+        static_cast<std::size_t>(fraction * static_cast<double>(all.size()));
     return std::chrono::duration<double>(all[std::min(n, all.size() - 1)])
         .count();
   };
-  return {at(0.5), at(0.99), at(1)};
+  return {valueAt(0.5), valueAt(0.99), valueAt(1)};
 }
 
 std::string print(const Percentiles &it, double scale, const char *unit) {
   return fmt::format("median {:.2f} {}, p99 {:.2f} {}, most {:.2f} {}",
                      it.Median * scale, unit, it.P99 * scale, unit,
-                     it.Most * scale, unit);
+                     it.Max * scale, unit);
 }
 
-/// Writes of callers in one domain, by way of its entry daemon's view, each
-/// confirmed by a replica before it counts.
-class Callers {
+/// Writes of callers in one domain, routed by the state of that domain's
+/// daemon. A write counts once a replica has confirmed it.
+class WriteLoad {
 public:
-  Callers(Simulation &sim, Delays delays, std::size_t domain)
-      : Sim(sim), Wires(delays), Domain(domain) {}
+  WriteLoad(Simulation &sim, Delays delays, std::size_t domain)
+      : Sim(sim), LinkDelays(delays), Domain(domain) {}
 
-  void start() { begin(); }
-  /// When the first write that began after \p since was acknowledged.
-  std::optional<TimePoint> firstAfter(TimePoint since) const {
-    for (const auto &[begun, acked] : Acked)
-      if (begun >= since)
-        return acked;
+  void start() { issue(); }
+  /// \return when the first write issued at or after \p since was acknowledged.
+  std::optional<TimePoint> firstAcknowledgementAfter(TimePoint since) const {
+    for (const auto &[started, acknowledged] : Acknowledged)
+      if (started >= since)
+        return acknowledged;
     return std::nullopt;
   }
 
 private:
-  void begin() {
-    auto begun = Sim.now();
-    Sim.after(Wires.Client, [this, begun] { attempt(begun); });
-    Sim.after(WriteEvery, [this] { begin(); });
+  void issue() {
+    auto started = Sim.now();
+    Sim.after(LinkDelays.Client, [this, started] { sendToPrimary(started); });
+    Sim.after(WriteInterval, [this] { issue(); });
   }
-  void attempt(TimePoint begun) {
-    if (Sim.now() - begun > std::chrono::seconds(5))
+  void sendToPrimary(TimePoint started) {
+    if (Sim.now() - started > std::chrono::seconds(5))
       return;
     const auto &group = Sim.Owners[Domain].Group;
     std::size_t target = 0;
     while (target < Domains && Sim.Targets[target].Name != group.Primary)
       ++target;
     if (target == Domains) {
-      Sim.after(EntryRetry, [this, begun] { attempt(begun); });
+      Sim.after(EntryRetryDelay, [this, started] { sendToPrimary(started); });
       return;
     }
-    auto wire = Sim.delay(Domain, target);
-    Sim.after(wire, [this, begun, target, wire] { run(begun, target, wire); });
+    auto oneWay = Sim.delay(Domain, target);
+    Sim.after(oneWay, [this, started, target, oneWay] {
+      execute(started, target, oneWay);
+    });
   }
-  void run(TimePoint begun, std::size_t target, Duration wire) {
-    if (!Sim.write(target, ++LastWrite)) {
+  void execute(TimePoint started, std::size_t target, Duration oneWay) {
+    if (!Sim.write(target, ++LastWriteId)) {
       if (!Sim.isFrozen(Sim.Targets[target]))
-        Sim.after(wire + EntryRetry, [this, begun] { attempt(begun); });
-      return; // A frozen one answers nothing; later writes go on.
+        Sim.after(oneWay + EntryRetryDelay,
+                  [this, started] { sendToPrimary(started); });
+      return; // A frozen target does not answer; later writes still run.
     }
-    confirm(begun, target, Sim.Targets[target].Report.Last, wire, 0);
+    awaitReplica(started, target, Sim.Targets[target].Report.Last, oneWay, 0);
   }
-  /// Asks until a replica holds it; the owner stands beside the primary.
-  void confirm(TimePoint begun, std::size_t target, Position at, Duration wire,
-               int tries) {
-    constexpr int MostTries = 400;
-    bool held = false;
+  /// Polls until a replica has the write. The owner is next to the primary, so
+  /// calls between them add no delay.
+  void awaitReplica(TimePoint started, std::size_t target, Position at,
+                    Duration oneWay, int attempts) {
+    constexpr int MaxAttempts = 400;
+    bool replicated = false;
     for (std::size_t n = 0; n < Domains; ++n)
-      held = held || (n != target && Sim.Targets[n].Alive &&
-                      failover::holds(Sim.Targets[n].Report, at));
+      replicated = replicated || (n != target && Sim.Targets[n].Alive &&
+                                  failover::holds(Sim.Targets[n].Report, at));
     const auto &primary = Sim.Targets[target];
-    bool leads = primary.Alive && primary.Report.IsPrimary &&
-                 primary.Report.CurrentTerm == at.InTerm;
-    if (!leads || tries > MostTries)
+    bool stillPrimary = primary.Alive && primary.Report.IsPrimary &&
+                        primary.Report.CurrentTerm == at.InTerm;
+    if (!stillPrimary || attempts > MaxAttempts)
       return;
-    if (!held) {
-      Sim.after(milliseconds(1),
-                [=, this] { confirm(begun, target, at, wire, tries + 1); });
+    if (!replicated) {
+      Sim.after(milliseconds(1), [=, this] {
+        awaitReplica(started, target, at, oneWay, attempts + 1);
+      });
       return;
     }
-    // The replica's answer travels back, then the primary is asked once more.
+    // The replica's answer arrives, then the primary is queried once more.
     auto back = Sim.delay(target, (target + 1) % Domains);
-    Sim.after(back + wire + Wires.Client,
-              [this, begun] { Acked.emplace_back(begun, Sim.now()); });
+    Sim.after(back + oneWay + LinkDelays.Client, [this, started] {
+      Acknowledged.emplace_back(started, Sim.now());
+    });
   }
 
   Simulation &Sim;
-  Delays Wires;
+  Delays LinkDelays;
   std::size_t Domain;
-  std::uint64_t LastWrite = 1'000;
-  std::vector<std::pair<TimePoint, TimePoint>> Acked;
+  std::uint64_t LastWriteId = 1'000;
+  std::vector<std::pair<TimePoint, TimePoint>> Acknowledged;
 };
 
-void kill(Simulation &sim, Death how) {
-  if (how == Death::Frozen) {
-    sim.Targets[0].FrozenUntil = sim.now() + LongestGap * 2;
+void injectFailure(Simulation &sim, PrimaryFailure failure) {
+  if (failure == PrimaryFailure::ProcessFrozen) {
+    sim.Targets[0].FrozenUntil = sim.now() + MaxGap * 2;
     return;
   }
   sim.Targets[0].Alive = false;
-  if (how == Death::Domain)
+  if (failure == PrimaryFailure::TargetAndOwnerDead)
     sim.Owners[0].Alive = false;
 }
 
-std::optional<Duration> measureGap(std::uint64_t seed, Delays delays, Death how,
-                                   bool platformDown) {
+std::optional<Duration> measureGap(std::uint64_t seed, Delays delays,
+                                   PrimaryFailure failure, bool stopPlatform) {
   Simulation sim(seed, delays);
-  Callers callers(sim, delays, 1);
+  WriteLoad load(sim, delays, 1);
   sim.runFor(std::chrono::seconds(4));
-  callers.start();
+  load.start();
   sim.runFor(std::chrono::seconds(1));
-  if (platformDown)
+  if (stopPlatform)
     sim.Platform.Down = true;
   sim.runFor(milliseconds(200 + sim.below(400)));
-  auto died = sim.now();
-  kill(sim, how);
-  sim.runUntil([&] { return callers.firstAfter(died).has_value(); },
-               LongestGap);
-  auto acked = callers.firstAfter(died);
-  return acked ? std::optional<Duration>(*acked - died) : std::nullopt;
+  auto failedAt = sim.now();
+  injectFailure(sim, failure);
+  sim.runUntil(
+      [&] { return load.firstAcknowledgementAfter(failedAt).has_value(); },
+      MaxGap);
+  auto acknowledged = load.firstAcknowledgementAfter(failedAt);
+  return acknowledged ? std::optional<Duration>(*acknowledged - failedAt)
+                      : std::nullopt;
 }
 
-/// The baseline: the primary holds a lease at the platform and renews it; a
-/// watcher takes it over when it has run out, then promotes. The platform's
-/// clock decides, so no pause need be added.
-Duration leaseGap(Simulation &sim, Delays delays) {
-  auto renewed = milliseconds(sim.below(
-      static_cast<std::uint64_t>(LeaseRenewal.count()))); // Before the death.
-  auto left = LeaseLength - renewed;
-  auto takeOver = 2 * sim.delay(1, PlatformPlace); // Watch, then update.
+/// The baseline: the primary holds a lease at the platform and renews it. When
+/// the lease has expired, a watcher acquires it and promotes a replica. Expiry
+/// is decided by the platform's clock, so no safety margin is added.
+Duration leaseFailoverGap(Simulation &sim, Delays delays) {
+  auto renewed = milliseconds(sim.below(static_cast<std::uint64_t>(
+      LeaseRenewalInterval.count()))); // Before the failure.
+  auto remaining = LeaseDuration - renewed;
+  auto platformRoundTrip = 2 * sim.delay(1, PlatformPlace); // Watch, update.
   auto fenceAndPromote = 4 * sim.delay(1, 2);
   auto write = 2 * sim.delay(1, 2) + 2 * Duration(delays.Client);
-  auto retry =
-      milliseconds(sim.below(static_cast<std::uint64_t>(EntryRetry.count())));
-  return left + 2 * takeOver + fenceAndPromote + write + retry;
+  auto retry = milliseconds(
+      sim.below(static_cast<std::uint64_t>(EntryRetryDelay.count())));
+  return remaining + 2 * platformRoundTrip + fenceAndPromote + write + retry;
 }
 
-const char *nameOf(Death it) {
+const char *nameOf(PrimaryFailure it) {
   switch (it) {
-  case Death::Process:
+  case PrimaryFailure::ProcessDead:
     return "process dead";
-  case Death::Frozen:
+  case PrimaryFailure::ProcessFrozen:
     return "process frozen";
-  case Death::Domain:
+  case PrimaryFailure::TargetAndOwnerDead:
     return "target and owner dead";
   }
   return "";
 }
 
 void benchGaps(const char *name, Delays delays, unsigned rounds) {
-  for (auto how : {Death::Process, Death::Frozen, Death::Domain})
-    for (bool down : {false, true}) {
+  for (auto failure :
+       {PrimaryFailure::ProcessDead, PrimaryFailure::ProcessFrozen,
+        PrimaryFailure::TargetAndOwnerDead})
+    for (bool platformDown : {false, true}) {
       std::vector<Duration> gaps;
-      std::vector<Duration> leases;
+      std::vector<Duration> leaseGaps;
       for (unsigned n = 0; n < rounds; ++n) {
-        if (auto gap = measureGap(n + 1, delays, how, down))
+        if (auto gap = measureGap(n + 1, delays, failure, platformDown))
           gaps.push_back(*gap);
         Simulation sim(n + 1, delays);
-        leases.push_back(leaseGap(sim, delays));
+        leaseGaps.push_back(leaseFailoverGap(sim, delays));
       }
       fmt::print("{}, {}, platform {}: {} of {} failovers, {}; leases of 3 s: "
                  "{}\n",
-                 name, nameOf(how), down ? "down" : "up", gaps.size(), rounds,
-                 print(summarise(gaps), 1, "s"),
-                 down ? std::string("none: writes stop with the lease")
-                      : print(summarise(leases), 1, "s"));
+                 name, nameOf(failure), platformDown ? "down" : "up",
+                 gaps.size(), rounds, print(summarise(gaps), 1, "s"),
+                 platformDown ? std::string("none: writes stop with the lease")
+                              : print(summarise(leaseGaps), 1, "s"));
     }
 }
 
-void benchCalm(const char *name, Delays delays) {
-  Timings limits;
+void benchFalseFailovers(const char *name, Delays delays) {
+  Timings timings;
   auto roundTrip = std::chrono::ceil<milliseconds>(delays.Region * 12 / 5);
-  auto most = pauseLimit(limits, roundTrip);
-  Simulation sim(5, delays, limits);
+  auto maxPause = pauseLimit(timings, roundTrip);
+  Simulation sim(5, delays, timings);
   constexpr std::chrono::hours Span{1};
-  auto begun = sim.now();
+  auto started = sim.now();
   int pauses = 0;
-  for (; sim.now() - begun < Span; ++pauses) {
+  for (; sim.now() - started < Span; ++pauses) {
     sim.runFor(std::chrono::seconds(5) + milliseconds(sim.below(1'000)));
-    auto until = sim.now() + most - milliseconds(1);
+    auto until = sim.now() + maxPause - milliseconds(1);
     if (pauses % 2 == 0)
       sim.Targets[sim.below(Domains)].FrozenUntil = until;
     else
       sim.Owners[sim.below(Domains)].FrozenUntil = until;
     sim.runFor(milliseconds(500));
   }
-  auto span = std::chrono::duration<double>(sim.now() - begun).count();
+  auto span = std::chrono::duration<double>(sim.now() - started).count();
   fmt::print("{}, calm: {:.0f} s with 20% jitter and {} pauses of {} ms (limit "
              "{} ms): {} changes of primary\n",
-             name, span, pauses, (most - milliseconds(1)).count(), most.count(),
-             sim.Promotions);
+             name, span, pauses, (maxPause - milliseconds(1)).count(),
+             maxPause.count(), sim.Promotions);
 }
 
-/// Writes on one primary through the rounds of confirmation; the owner stands
-/// beside it.
-class ConfirmRun {
+/// Writes on one primary, confirmed in rounds by an owner next to it.
+class ConfirmationRun {
 public:
-  ConfirmRun(Simulation &sim, std::size_t mostRounds) : Sim(sim) {
-    State.MostRounds = mostRounds;
+  ConfirmationRun(Simulation &sim, std::size_t maxRounds) : Sim(sim) {
+    State.MostRounds = maxRounds;
   }
 
   void run(unsigned writes, double perSecond) {
@@ -239,77 +249,79 @@
     Sim.runFor(at + std::chrono::seconds(2));
   }
 
-  std::vector<Duration> Added;
-  std::size_t Calls = 0; ///< On replicas and primary.
+  std::vector<Duration> AddedDelays;
+  std::size_t CallCount = 0; ///< To the replicas and the primary.
 
 private:
   void commit() {
     Position at{1, ++Last};
     for (std::size_t n = 1; n < Domains; ++n)
-      Sim.after(Sim.delay(0, n),
-                [this, n, at] { Held[n] = std::max(Held[n], at.Index); });
+      Sim.after(Sim.delay(0, n), [this, n, at] {
+        ReplicaIndexes[n] = std::max(ReplicaIndexes[n], at.Index);
+      });
     TicketHandle ticket;
     auto actions = onCommitted(State, at, Sim.now() + std::chrono::seconds(1),
                                Sim.now(), ticket);
-    Begun[ticket] = Sim.now();
-    take(actions);
+    StartTimes[ticket] = Sim.now();
+    performAll(actions);
   }
-  void take(const ConfirmActions &actions) {
+  void performAll(const ConfirmActions &actions) {
     for (const auto &it : actions)
       std::visit([this](const auto &n) { perform(n); }, it);
   }
   void perform(const AskReplicas &it) {
     for (std::size_t n = 1; n < Domains; ++n) {
-      ++Calls;
-      Sim.after(Sim.delay(0, n), [this, it, n] { await(it, n); });
+      ++CallCount;
+      Sim.after(Sim.delay(0, n), [this, it, n] { awaitIndex(it, n); });
     }
   }
-  void await(const AskReplicas &it, std::size_t n) {
-    if (Held[n] < it.At.Index) {
-      Sim.after(microseconds(100), [this, it, n] { await(it, n); });
+  void awaitIndex(const AskReplicas &it, std::size_t n) {
+    if (ReplicaIndexes[n] < it.At.Index) {
+      Sim.after(microseconds(100), [this, it, n] { awaitIndex(it, n); });
       return;
     }
-    TargetReport report{1, false, {1, Held[n]}, {}, false};
+    TargetReport report{1, false, {1, ReplicaIndexes[n]}, {}, false};
     Sim.after(Sim.delay(0, n), [this, it, report] {
-      take(onReplica(State, it.Round, report, Sim.now()));
+      performAll(onReplica(State, it.Round, report, Sim.now()));
     });
   }
   void perform(const AskPrimary &it) {
-    ++Calls;
+    ++CallCount;
     Sim.after(2 * Sim.delay(0, 0), [this, it] {
       TargetReport report{1, true, {1, Last}, {}, false};
-      take(onPrimary(State, it.Round, report, Sim.now()));
+      performAll(onPrimary(State, it.Round, report, Sim.now()));
     });
   }
   void perform(const Confirmed &it) {
     if (it.Safe)
-      Added.push_back(Sim.now() - Begun[it.Ticket]);
+      AddedDelays.push_back(Sim.now() - StartTimes[it.Ticket]);
   }
 
   Simulation &Sim;
   ConfirmState State;
   std::uint64_t Last = 1;
-  std::array<std::uint64_t, Domains> Held{};
-  std::map<TicketHandle, TimePoint> Begun;
+  std::array<std::uint64_t, Domains> ReplicaIndexes{};
+  std::map<TicketHandle, TimePoint> StartTimes;
 };
 
 void benchConfirmation(const char *name, Delays delays) {
   constexpr unsigned Writes = 4'000;
-  constexpr std::size_t EachForItself = 1'000'000;
+  constexpr std::size_t UnlimitedRounds = 1'000'000;
   for (double rate : {100.0, 1'000.0, 5'000.0})
-    for (std::size_t rounds : {std::size_t{1}, std::size_t{2}, EachForItself}) {
+    for (std::size_t rounds :
+         {std::size_t{1}, std::size_t{2}, UnlimitedRounds}) {
       Simulation sim(3, delays);
-      ConfirmRun run(sim, rounds);
+      ConfirmationRun run(sim, rounds);
       run.run(Writes, rate);
-      auto calls = static_cast<double>(run.Calls) / Writes;
+      auto calls = static_cast<double>(run.CallCount) / Writes;
       fmt::print("{}, confirmation, {:.0f} writes a second, {}: {} of {} "
                  "confirmed, adds {}; {:.2f} calls a write (no confirmation: "
                  "adds 0.00 ms, 0 calls)\n",
                  name, rate,
-                 rounds == EachForItself ? std::string("each for itself")
-                                         : fmt::format("{} rounds", rounds),
-                 run.Added.size(), Writes,
-                 print(summarise(run.Added), 1'000, "ms"), calls);
+                 rounds == UnlimitedRounds ? std::string("each for itself")
+                                           : fmt::format("{} rounds", rounds),
+                 run.AddedDelays.size(), Writes,
+                 print(summarise(run.AddedDelays), 1'000, "ms"), calls);
     }
 }
 
@@ -321,7 +333,7 @@
   for (const auto &[name, delays] :
        {std::pair("Lendleht", Lendleht), std::pair("Thaali", Thaali)}) {
     benchGaps(name, delays, rounds);
-    benchCalm(name, delays);
+    benchFalseFailovers(name, delays);
     benchConfirmation(name, delays);
   }
   return 0;
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -1,5 +1,5 @@
-// Decisions under load, beside plain baselines: same loads, same seed, in
-// virtual time. Usage: load_bench [--json] [--seed=N] [--short]
+// Admission and routing under load, compared with a baseline on the same loads
+// and seed, in virtual time. Usage: load_bench [--json] [--seed=N] [--short]
 
 #include "admission/load_outcomes.h"
 #include "base/document.h"
@@ -8,9 +8,9 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_bool(json, false, "results as JSON");
-DEFINE_uint64(seed, 1, "of all random choices");
-DEFINE_bool(short, false, "saturation for 10 s in place of 60 s");
+DEFINE_bool(json, false, "print the results as JSON");
+DEFINE_uint64(seed, 1, "seed of all random choices");
+DEFINE_bool(short, false, "saturation for 10 s instead of 60 s");
 
 namespace {
 
@@ -52,7 +52,7 @@
   return of == 0 ? 0 : 100.0 * static_cast<double>(n) / static_cast<double>(of);
 }
 
-void printHead(const Deployment &sizes) {
+void printHeader(const Deployment &sizes) {
   std::cout << fmt::format(
       "\n{}: 3 databases x 3 targets of {} slots, {} connections\n"
       "{:<18} {:<11} {:>6} {:>6} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>7} "
@@ -102,7 +102,7 @@
   Json results = Json::array();
   for (const auto &sizes : {lendleht(), thaali()}) {
     if (!FLAGS_json)
-      printHead(sizes);
+      printHeader(sizes);
     for (const auto &plan : plans())
       for (auto policy : {Policy::Peridotfall, Policy::Baseline}) {
         const char *name =
@@ -120,14 +120,15 @@
   if (FLAGS_json)
     std::cout << Json{{"seed", FLAGS_seed}, {"runs", results}}.dump(2) << "\n";
   else
-    std::cout << "\nShares in percent, times in ms; seed " << FLAGS_seed
-              << ".\nuseful: work answered in time, of the capacity; record: "
-                 "writes of record in time; shr: statements that are not long;"
-                 "\nlight: the least served light caller, jain: fairness among "
-                 "them; stale, reads: share answered by replicas;\nrecov.: "
-                 "until 99% are in time again; rfP99: time until "
-                 "a refusal; rfLate: refusals near the deadline; "
-                 "again: refused, came back when told to,\nand answered in "
-                 "time.\n";
+    std::cout
+        << "\nShares in percent, times in ms; seed " << FLAGS_seed
+        << ".\nuseful: work answered in time, of the capacity; record: "
+           "writes of record in time; shr: statements that are not long;"
+           "\nlight: the least served light caller, jain: fairness among "
+           "them; stale, reads: share answered by replicas;\nrecov.: "
+           "until 99% are in time again; rfP99: time until "
+           "a refusal; rfLate: refusals near the deadline; "
+           "again: refused, retried after the given delay,\nand answered in "
+           "time.\n";
   return 0;
 }
--- a/bench/matrix_bench.cpp
+++ b/bench/matrix_bench.cpp
@@ -1,4 +1,4 @@
-// The whole fault matrix in virtual time, for scripts/fault-matrix.sh.
+// Runs the complete fault matrix in virtual time, for scripts/fault-matrix.sh.
 
 #include "proof/matrix.h"
 
@@ -6,11 +6,10 @@
 #include <gflags/gflags.h>
 
 DEFINE_uint64(seed, 1, "seed of each cell");
-DEFINE_bool(pairs, false, "pairs of faults in place of single ones");
+DEFINE_bool(pairs, false, "run pairs of faults instead of single ones");
 DEFINE_uint64(part, 0,
-              "with --parts: runs each cell whose number modulo the "
-              "parts is this");
-DEFINE_uint64(parts, 1, "parts that run side by side");
+              "run only the cells whose number modulo --parts is this");
+DEFINE_uint64(parts, 1, "number of parts that run in parallel");
 
 int main(int argc, char **argv) {
   using namespace peridotfall::proof;
@@ -23,6 +22,6 @@
     fmt::print("{:5} {}: {}\n", n, describe(cells[n]), describe(verdict));
   }
   fmt::print("{}\n", summary(report));
-  bool whole = report.Run + report.Impossible == report.Cells;
-  return report.Violations == 0 && whole ? 0 : 1;
+  bool complete = report.Run + report.Impossible == report.Cells;
+  return report.Violations == 0 && complete ? 0 : 1;
 }
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -1,5 +1,5 @@
-// How long a change takes to be in force at 1,700 daemons, in virtual time:
-// the program's tree and comparisons over a fake of the links.
+// Time until a configuration change is in force at 1,700 daemons, in virtual
+// time: the daemons' relay tree and comparisons over a simulated network.
 
 #include "config/relay_fake.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-void report(const char *name, const RelayOptions &options) {
+void printRow(const char *name, const RelayOptions &options) {
   auto out = RelayRun(options).run();
   const auto &it = out.ReachedAt;
   std::cout << fmt::format(
@@ -28,17 +28,17 @@
                            "reached", "median", "p99", "last", "messages",
                            "most sent");
   RelayOptions options;
-  report("14 watchers", options);
+  printRow("14 watchers", options);
   options.Dead = 0.05;
-  report("14 watchers, 5% dead", options);
+  printRow("14 watchers, 5% dead", options);
   options.Watchers = 1;
-  report("1 watcher, 5% dead", options);
+  printRow("1 watcher, 5% dead", options);
   options.Dead = 0.2;
-  report("1 watcher, 20% dead", options);
+  printRow("1 watcher, 20% dead", options);
   options.Dead = 0.05;
   options.AdoptChildren = false;
-  report("1 watcher, 5% dead, none adopted", options);
+  printRow("1 watcher, 5% dead, none adopted", options);
   options.Compare = false;
-  report("  and no comparisons", options);
+  printRow("  and no comparisons", options);
   return 0;
 }
--- a/bench/slopes_fit.h
+++ b/bench/slopes_fit.h
@@ -1,5 +1,5 @@
 /// \file
-/// Least squares over measured points.
+/// Least-squares line fit of measured points.
 
 #ifndef PERIDOTFALL_BENCH_SLOPES_FIT_H
 #define PERIDOTFALL_BENCH_SLOPES_FIT_H
@@ -13,9 +13,9 @@
 
 namespace peridotfall::bench {
 
-/// One series: cost y against size x, several runs at each size.
+/// Measured cost y against size x, several runs at each size.
 struct Series {
-  std::string Unit; ///< Of y for one of x.
+  std::string Unit; ///< Of the slope: y per x.
   std::vector<double> X;
   std::vector<double> Y;
 
@@ -25,35 +25,35 @@
   }
 };
 
-struct Fit {
+struct LineFit {
   double Slope = 0;
   double Intercept = 0;
   double R2 = 0;
   double StandardError = 0; ///< Of the slope.
 };
 
-inline Fit fit(const Series &it) {
+inline LineFit fit(const Series &it) {
   auto n = static_cast<double>(it.X.size());
-  double mx = 0;
-  double my = 0;
+  double meanX = 0;
+  double meanY = 0;
   for (std::size_t k = 0; k < it.X.size(); ++k) {
-    mx += it.X[k] / n;
-    my += it.Y[k] / n;
+    meanX += it.X[k] / n;
+    meanY += it.Y[k] / n;
   }
   double sxx = 0;
   double sxy = 0;
   double syy = 0;
   for (std::size_t k = 0; k < it.X.size(); ++k) {
-    sxx += (it.X[k] - mx) * (it.X[k] - mx);
-    sxy += (it.X[k] - mx) * (it.Y[k] - my);
-    syy += (it.Y[k] - my) * (it.Y[k] - my);
+    sxx += (it.X[k] - meanX) * (it.X[k] - meanX);
+    sxy += (it.X[k] - meanX) * (it.Y[k] - meanY);
+    syy += (it.Y[k] - meanY) * (it.Y[k] - meanY);
   }
-  Fit out;
+  LineFit out;
   out.Slope = sxy / sxx;
-  out.Intercept = my - out.Slope * mx;
-  double rest = std::max(0.0, syy - out.Slope * sxy);
-  out.R2 = syy == 0 ? 1 : 1 - rest / syy;
-  out.StandardError = n > 2 ? std::sqrt(rest / (n - 2) / sxx) : 0;
+  out.Intercept = meanY - out.Slope * meanX;
+  double residual = std::max(0.0, syy - out.Slope * sxy);
+  out.R2 = syy == 0 ? 1 : 1 - residual / syy;
+  out.StandardError = n > 2 ? std::sqrt(residual / (n - 2) / sxx) : 0;
   return out;
 }
 
@@ -68,13 +68,13 @@
           {"slopeStandardError", line.StandardError}};
 }
 
-/// \return the value below which this share of the values lies.
-inline double percentile(std::vector<double> values, double share) {
+/// \return the value below which the given fraction of the values lies.
+inline double percentile(std::vector<double> values, double fraction) {
   if (values.empty())
     return 0;
   std::sort(values.begin(), values.end());
-  auto n =
-      static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
+  auto n = static_cast<std::size_t>(fraction *
+                                    static_cast<double>(values.size() - 1));
   return values[n];
 }
 
--- a/bench/slopes_fleet.h
+++ b/bench/slopes_fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// A small fleet for measurements: stand-ins, daemons and load.
+/// Stand-ins, daemons and client load for measurements.
 
 #ifndef PERIDOTFALL_BENCH_SLOPES_FLEET_H
 #define PERIDOTFALL_BENCH_SLOPES_FLEET_H
@@ -25,20 +25,21 @@
 
 using std::chrono::milliseconds;
 using Channels = std::vector<std::shared_ptr<http::Channel>>;
-inline constexpr milliseconds CallLimit{20'000};
+inline constexpr milliseconds CallTimeout{20'000};
 
 inline std::string loopback(std::uint16_t port) {
   return fmt::format("127.0.0.1:{}", port);
 }
 
-/// The platform and three targets for each database; the first leads.
-inline std::unique_ptr<Child> startStandIns(std::size_t databases) {
-  return std::make_unique<Child>(
-      1 + 3 * databases, [&](const auto &ready, const auto &untilClosed) {
-        // A stand-in target belongs to one thread.
+/// Starts a stand-in platform and three stand-in targets for each database, the
+/// first of which is the primary. Reports the ports in this order.
+inline std::unique_ptr<ChildProcess> startStandIns(std::size_t databases) {
+  return std::make_unique<ChildProcess>(
+      1 + 3 * databases, [&](const auto &reportPorts, const auto &waitForStop) {
+        // Each stand-in target must run on a single thread.
         http::Loops loops(1);
-        std::array<http::Loops, 3> own{http::Loops(1), http::Loops(1),
-                                       http::Loops(1)};
+        std::array<http::Loops, 3> targetLoops{http::Loops(1), http::Loops(1),
+                                               http::Loops(1)};
         auto platform = std::make_shared<standin::Platform>(loops);
         platform->start("127.0.0.1:0");
         Ports ports{platform->port()};
@@ -52,13 +53,13 @@
           if (n % 3 != 0)
             options.Follow = loopback(ports[n - n % 3 + 1]);
           targets.push_back(
-              std::make_shared<standin::Target>(own[n % 3], options));
+              std::make_shared<standin::Target>(targetLoops[n % 3], options));
           targets.back()->start();
           ports.push_back(targets.back()->port());
         }
-        ready(ports);
-        untilClosed();
-        for (auto &it : own)
+        reportPorts(ports);
+        waitForStop();
+        for (auto &it : targetLoops)
           it.stop();
         loops.stop();
       });
@@ -67,33 +68,33 @@
 struct DaemonSetup {
   std::string Vm = "vm-1";
   std::string Domain = "here";
-  std::uint16_t Platform = 0;
+  std::uint16_t PlatformPort = 0;
   unsigned Threads = 2;
-  milliseconds Probe{200};
+  milliseconds ProbePeriod{200};
 };
 
-/// Reports the port for callers and the inner port.
-inline std::unique_ptr<Child> startDaemon(const DaemonSetup &setup) {
-  return std::make_unique<Child>(
-      2, [&](const auto &ready, const auto &untilClosed) {
+/// Starts a daemon; it reports the port for callers and the inner port.
+inline std::unique_ptr<ChildProcess> startDaemon(const DaemonSetup &setup) {
+  return std::make_unique<ChildProcess>(
+      2, [&](const auto &reportPorts, const auto &waitForStop) {
         telemetry::setLevel(telemetry::Level::Error);
         DaemonOptions options;
         options.Self.Vm = VmName(setup.Vm);
         options.Self.Domain = DomainName(setup.Domain);
         options.Self.Region = RegionName("region");
-        options.Platform = loopback(setup.Platform);
+        options.Platform = loopback(setup.PlatformPort);
         options.Keys =
             parseTokenKeys("k1:0123456789abcdef0123456789abcdef").value();
         options.Threads = setup.Threads;
-        options.ProbeInterval = setup.Probe;
+        options.ProbeInterval = setup.ProbePeriod;
         Daemon daemon(options);
         daemon.start();
-        ready({daemon.callerPort(), daemon.innerPort()});
-        untilClosed();
+        reportPorts({daemon.callerPort(), daemon.innerPort()});
+        waitForStop();
       });
 }
 
-/// A configuration of databases whose targets listen on these ports.
+/// \return a configuration with one database for every three of these ports.
 inline Configuration makeConfiguration(const Ports &targets,
                                        std::uint64_t revision) {
   Configuration out;
@@ -121,11 +122,11 @@
   return out;
 }
 
-/// Calls and waits. \return the status; 0 where no answer came.
-inline int callNow(const std::shared_ptr<http::Channel> &channel,
-                   http::Request request) {
+/// \return the status of the answer, or 0 if none arrived.
+inline int callAndWait(const std::shared_ptr<http::Channel> &channel,
+                       http::Request request) {
   auto done = std::make_shared<std::promise<int>>();
-  channel->call(std::move(request), CallLimit,
+  channel->call(std::move(request), CallTimeout,
                 [done](const http::CallResult &it) {
                   done->set_value(it ? it.value().Status : 0);
                 });
@@ -147,23 +148,23 @@
   return it;
 }
 
-inline http::Request statement(const std::string &kind,
-                               const std::string &sql) {
+inline http::Request statementRequest(const std::string &kind,
+                                      const std::string &sql) {
   return post("/v1/databases/orders-0000/statements",
               Json({{"kind", kind}, {"sql", sql}}).dump());
 }
 
-/// Tells the platform of the daemons, as its list of VMs.
+/// Sets the platform's list of VMs.
 inline void setVms(http::Loops &loops, std::uint16_t platform,
                    const Json &vms) {
   auto channel = std::make_shared<http::Channel>(
       loops.next(), loopback(platform), http::ChannelOptions{});
-  callNow(channel, post("/control", Json({{"vms", vms}}).dump()));
+  callAndWait(channel, post("/control", Json({{"vms", vms}}).dump()));
   channel->close();
 }
 
-inline Json vm(const std::string &name, const std::string &domain,
-               std::uint16_t inner) {
+inline Json vmEntry(const std::string &name, const std::string &domain,
+                    std::uint16_t inner) {
   return {{"vm", name},
           {"domain", domain},
           {"region", "region"},
@@ -174,7 +175,7 @@
                              const Configuration &config) {
   auto channel = std::make_shared<http::Channel>(
       loops.next(), loopback(platform), http::ChannelOptions{});
-  callNow(channel, [&] {
+  callAndWait(channel, [&] {
     auto it = post(fmt::format("/objects/{}?expected={}",
                                platform::ConfigurationKey, config.Revision - 1),
                    writeConfiguration(config));
@@ -184,7 +185,7 @@
   channel->close();
 }
 
-inline void pause(milliseconds it) { std::this_thread::sleep_for(it); }
+inline void sleepFor(milliseconds it) { std::this_thread::sleep_for(it); }
 
 inline Channels openChannels(http::Loops &loops, std::uint16_t port,
                              std::size_t count) {
@@ -198,47 +199,48 @@
 inline void closeAll(Channels &channels) {
   for (auto &it : channels)
     it->close();
-  pause(milliseconds(50));
+  sleepFor(milliseconds(50));
   channels.clear();
 }
 
-/// What a closed loop of requests saw.
-struct LoadResult {
+struct ClosedLoopResult {
   std::vector<double> Latencies; ///< Microseconds.
   double Seconds = 0;
-  std::size_t Failed = 0; ///< Not answered with 200.
+  std::size_t Failed = 0; ///< Answered with another status than 200, or not.
 };
 
-/// One request at a time on each channel until total requests have begun.
-inline LoadResult drive(const Channels &channels, const http::Request &request,
-                        std::size_t total) {
+/// Sends \p total requests, one at a time on each channel, and waits for all
+/// answers.
+inline ClosedLoopResult runClosedLoop(const Channels &channels,
+                                      const http::Request &request,
+                                      std::size_t total) {
   struct State {
-    std::atomic<std::size_t> Begun{0};
+    std::atomic<std::size_t> Started{0};
     std::atomic<std::size_t> Failed{0};
-    std::atomic<std::size_t> Running{0};
+    std::atomic<std::size_t> ActiveChannels{0};
     std::vector<double> Latencies;
-    std::promise<void> End;
+    std::promise<void> Finished;
   };
   auto state = std::make_shared<State>();
   state->Latencies.resize(total);
-  state->Running = channels.size();
+  state->ActiveChannels = channels.size();
   auto start = std::chrono::steady_clock::now();
   using Next = std::function<void(const std::shared_ptr<http::Channel> &)>;
   auto next = std::make_shared<Next>();
   *next = [=, weak = std::weak_ptr(next)](
               const std::shared_ptr<http::Channel> &channel) {
-    auto n = state->Begun++;
+    auto n = state->Started++;
     if (n >= total) {
-      if (--state->Running == 0)
-        state->End.set_value();
+      if (--state->ActiveChannels == 0)
+        state->Finished.set_value();
       return;
     }
-    auto begun = std::chrono::steady_clock::now();
-    channel->call(request, CallLimit,
+    auto started = std::chrono::steady_clock::now();
+    channel->call(request, CallTimeout,
                   [=, self = weak.lock()](const http::CallResult &it) {
-                    std::chrono::duration<double, std::micro> took =
-                        std::chrono::steady_clock::now() - begun;
-                    state->Latencies[n] = took.count();
+                    std::chrono::duration<double, std::micro> elapsed =
+                        std::chrono::steady_clock::now() - started;
+                    state->Latencies[n] = elapsed.count();
                     bool ok = it && it.value().Status == 200;
                     if (!ok && state->Failed++ == 0)
                       std::fprintf(stderr, "first failure: %s\n",
@@ -249,9 +251,10 @@
   };
   for (const auto &it : channels)
     (*next)(it);
-  state->End.get_future().get();
-  std::chrono::duration<double> took = std::chrono::steady_clock::now() - start;
-  return {state->Latencies, took.count(), state->Failed.load()};
+  state->Finished.get_future().get();
+  std::chrono::duration<double> elapsed =
+      std::chrono::steady_clock::now() - start;
+  return {state->Latencies, elapsed.count(), state->Failed.load()};
 }
 
 } // namespace peridotfall::bench
--- a/bench/slopes_process.h
+++ b/bench/slopes_process.h
@@ -1,5 +1,6 @@
 /// \file
-/// Child processes of a measurement, and what the kernel counts for them.
+/// Child processes of a measurement, with their processor time and memory as
+/// the kernel counts them.
 
 #ifndef PERIDOTFALL_BENCH_SLOPES_PROCESS_H
 #define PERIDOTFALL_BENCH_SLOPES_PROCESS_H
@@ -21,78 +22,80 @@
 
 using Ports = std::vector<std::uint16_t>;
 
-/// A child that serves until the parent closes its pipe, so that none is left
-/// behind when the parent dies.
-class Child {
+/// A child process that runs until the parent closes its end of a pipe, which
+/// the kernel also does when the parent dies: no child outlives it.
+class ChildProcess {
 public:
-  /// What the child tells the parent, and what it does until then.
-  using Serve = std::function<void(const std::function<void(Ports)> &ready,
-                                   const std::function<void()> &untilClosed)>;
+  /// Runs in the child: reports its ports through the first function, then
+  /// blocks in the second until the parent closes the pipe.
+  using ServeFunction =
+      std::function<void(const std::function<void(Ports)> &reportPorts,
+                         const std::function<void()> &waitForStop)>;
 
-  /// \param count ports that the child reports.
-  Child(std::size_t count, const Serve &serve) : Reported(count) {
-    int up[2];
-    int down[2];
-    if (pipe(up) != 0 || pipe(down) != 0)
+  /// \param count number of ports that the child reports.
+  ChildProcess(std::size_t count, const ServeFunction &serve)
+      : ReportedPorts(count) {
+    int reportPipe[2];
+    int stopPipe[2];
+    if (pipe(reportPipe) != 0 || pipe(stopPipe) != 0)
       _exit(1);
-    Id = fork();
-    if (Id == 0) {
-      close(up[0]);
-      close(down[1]);
-      // Free memory of the parent would be filled first and not be counted.
+    Pid = fork();
+    if (Pid == 0) {
+      close(reportPipe[0]);
+      close(stopPipe[1]);
+      // Otherwise the child would first fill heap memory that the parent had
+      // freed, which residentBytes() would not show as growth.
       malloc_trim(0);
-      // A younger child would otherwise hold the pipes of its elders open.
-      for (int it : Holds)
+      // Otherwise this child would keep the pipes of earlier children open.
+      for (int it : StopPipes)
         close(it);
       serve(
           [&](Ports ports) {
             ports.resize(count);
-            if (write(up[1], ports.data(), bytes(ports)) < 0)
+            if (write(reportPipe[1], ports.data(), byteSize(ports)) < 0)
               _exit(1);
           },
           [&] {
             char c = 0;
-            while (read(down[0], &c, 1) > 0)
+            while (read(stopPipe[0], &c, 1) > 0)
               ;
           });
       _exit(0);
     }
-    close(up[1]);
-    close(down[0]);
-    Hold = down[1];
-    Holds.insert(Hold);
-    if (read(up[0], Reported.data(), bytes(Reported)) !=
-        static_cast<ssize_t>(bytes(Reported)))
-      Reported.assign(count, 0);
-    close(up[0]);
+    close(reportPipe[1]);
+    close(stopPipe[0]);
+    StopPipe = stopPipe[1];
+    StopPipes.insert(StopPipe);
+    if (read(reportPipe[0], ReportedPorts.data(), byteSize(ReportedPorts)) !=
+        static_cast<ssize_t>(byteSize(ReportedPorts)))
+      ReportedPorts.assign(count, 0);
+    close(reportPipe[0]);
   }
-  ~Child() {
-    Holds.erase(Hold);
-    close(Hold);
+  ~ChildProcess() {
+    StopPipes.erase(StopPipe);
+    close(StopPipe);
     int status = 0;
-    waitpid(Id, &status, 0);
+    waitpid(Pid, &status, 0);
     if (status != 0)
-      std::fprintf(stderr, "a process of the measurement ended with %d\n",
-                   status);
+      std::fprintf(stderr, "child process ended with wait status %d\n", status);
   }
-  Child(const Child &) = delete;
-  Child &operator=(const Child &) = delete;
+  ChildProcess(const ChildProcess &) = delete;
+  ChildProcess &operator=(const ChildProcess &) = delete;
 
-  const Ports &ports() const { return Reported; }
+  const Ports &ports() const { return ReportedPorts; }
 
-  /// Processor time so far, all threads, user and system. Microseconds.
-  double processorTime() const {
+  /// Processor time used so far by all threads, user and system.
+  double cpuMicroseconds() const {
     clockid_t clock = 0;
     timespec it{};
-    clock_getcpuclockid(Id, &clock);
+    clock_getcpuclockid(Pid, &clock);
     clock_gettime(clock, &it);
     return static_cast<double>(it.tv_sec) * 1e6 +
            static_cast<double>(it.tv_nsec) / 1e3;
   }
 
-  /// Resident bytes now.
   double residentBytes() const {
-    std::ifstream in("/proc/" + std::to_string(Id) + "/statm");
+    std::ifstream in("/proc/" + std::to_string(Pid) + "/statm");
     double size = 0;
     double resident = 0;
     in >> size >> resident;
@@ -100,15 +103,15 @@
   }
 
 private:
-  static std::size_t bytes(const Ports &it) {
+  static std::size_t byteSize(const Ports &it) {
     return it.size() * sizeof(Ports::value_type);
   }
 
-  static inline std::set<int> Holds; ///< Of all children alive.
+  static inline std::set<int> StopPipes; ///< Of all running children.
 
-  pid_t Id = -1;
-  int Hold = -1;
-  Ports Reported;
+  pid_t Pid = -1;
+  int StopPipe = -1;
+  Ports ReportedPorts;
 };
 
 } // namespace peridotfall::bench
--- a/bench/slopes_relay.h
+++ b/bench/slopes_relay.h
@@ -1,6 +1,6 @@
 /// \file
-/// A TCP relay that counts the bytes of one link, TCP and IP headers left
-/// out.
+/// A TCP relay that counts the payload bytes it forwards, without TCP and IP
+/// headers.
 
 #ifndef PERIDOTFALL_BENCH_SLOPES_RELAY_H
 #define PERIDOTFALL_BENCH_SLOPES_RELAY_H
@@ -14,73 +14,77 @@
 
 namespace peridotfall::bench {
 
-class Relay {
+class CountingRelay {
 public:
-  Relay(asio::io_context &loop, std::uint16_t to)
-      : Loop(loop), To(loopback(to)), Acceptor(loop, loopback(0)) {
+  CountingRelay(asio::io_context &loop, std::uint16_t to)
+      : Loop(loop), Destination(loopback(to)), Acceptor(loop, loopback(0)) {
     accept();
   }
 
   std::uint16_t port() const { return Acceptor.local_endpoint().port(); }
-  /// Bytes so far, both ways.
-  double bytes() const { return static_cast<double>(Count.load()); }
+  /// Payload bytes forwarded so far, both directions.
+  double bytes() const { return static_cast<double>(ByteCount.load()); }
 
 private:
   using Tcp = asio::ip::tcp;
-  struct Link {
-    explicit Link(asio::io_context &loop) : A(loop), B(loop) {}
-    Tcp::socket A;
-    Tcp::socket B;
-    std::array<char, 65536> FromA{};
-    std::array<char, 65536> FromB{};
+  struct Connection {
+    explicit Connection(asio::io_context &loop) : Client(loop), Server(loop) {}
+    Tcp::socket Client;
+    Tcp::socket Server;
+    std::array<char, 65536> ClientBuffer{};
+    std::array<char, 65536> ServerBuffer{};
   };
-  using LinkPtr = std::shared_ptr<Link>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
   static Tcp::endpoint loopback(std::uint16_t port) {
     return {asio::ip::address_v4::loopback(), port};
   }
 
   void accept() {
-    auto link = std::make_shared<Link>(Loop);
-    Acceptor.async_accept(link->A, [this, link](std::error_code ec) {
-      if (ec)
-        return;
-      link->A.set_option(Tcp::no_delay(true));
-      link->B.async_connect(To, [this, link](std::error_code failed) {
-        if (failed)
-          return;
-        link->B.set_option(Tcp::no_delay(true));
-        pump(link, link->A, link->B, link->FromA);
-        pump(link, link->B, link->A, link->FromB);
-      });
-      accept();
-    });
+    auto connection = std::make_shared<Connection>(Loop);
+    Acceptor.async_accept(
+        connection->Client, [this, connection](std::error_code ec) {
+          if (ec)
+            return;
+          connection->Client.set_option(Tcp::no_delay(true));
+          connection->Server.async_connect(
+              Destination, [this, connection](std::error_code failed) {
+                if (failed)
+                  return;
+                connection->Server.set_option(Tcp::no_delay(true));
+                forward(connection, connection->Client, connection->Server,
+                        connection->ClientBuffer);
+                forward(connection, connection->Server, connection->Client,
+                        connection->ServerBuffer);
+              });
+          accept();
+        });
   }
 
-  void pump(const LinkPtr &link, Tcp::socket &from, Tcp::socket &to,
-            std::array<char, 65536> &buf) {
+  void forward(const ConnectionPtr &connection, Tcp::socket &from,
+               Tcp::socket &to, std::array<char, 65536> &buffer) {
     from.async_read_some(
-        asio::buffer(buf),
-        [this, link, &from, &to, &buf](std::error_code ec, std::size_t n) {
+        asio::buffer(buffer), [this, connection, &from, &to,
+                               &buffer](std::error_code ec, std::size_t n) {
           if (ec) {
             std::error_code ignored;
             to.close(ignored);
             return;
           }
-          Count += n;
-          asio::async_write(to, asio::buffer(buf.data(), n),
-                            [this, link, &from, &to,
-                             &buf](std::error_code failed, std::size_t) {
+          ByteCount += n;
+          asio::async_write(to, asio::buffer(buffer.data(), n),
+                            [this, connection, &from, &to,
+                             &buffer](std::error_code failed, std::size_t) {
                               if (!failed)
-                                pump(link, from, to, buf);
+                                forward(connection, from, to, buffer);
                             });
         });
   }
 
   asio::io_context &Loop;
-  Tcp::endpoint To;
+  Tcp::endpoint Destination;
   Tcp::acceptor Acceptor;
-  std::atomic<std::uint64_t> Count{0};
+  std::atomic<std::uint64_t> ByteCount{0};
 };
 
 } // namespace peridotfall::bench
--- a/bench/soak_bench.cpp
+++ b/bench/soak_bench.cpp
@@ -1,4 +1,4 @@
-// Long random runs in virtual time, for scripts/soak.sh.
+// Long runs with random faults in virtual time, for scripts/soak.sh.
 
 #include "proof/soak.h"
 
@@ -7,14 +7,15 @@
 #include <string>
 
 DEFINE_uint64(seed, 1, "seed of a single run");
-DEFINE_uint64(seconds, 60, "virtual seconds with faults, of each run");
-DEFINE_string(seeds, "", "A..B: a run for each seed, in place of one");
+DEFINE_uint64(seconds, 60, "virtual seconds with faults in each run");
+DEFINE_string(seeds, "",
+              "A..B: one run for each seed of this range, instead of --seed");
 
 namespace {
 
 using peridotfall::proof::SoakReport;
 
-/// \return its report, having printed what was broken.
+/// Prints the violations of one run.
 SoakReport runOne(std::uint64_t seed) {
   auto report =
       peridotfall::proof::runSoak(seed, std::chrono::seconds(FLAGS_seconds));
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,5 +1,5 @@
-// Session tokens, ownership and admission without the daemons: what a program
-// of one's own does with a statement before it sends it.
+// Uses session tokens, target ownership and admission from the library alone,
+// without running a daemon.
 
 #include <peridotfall/admission.h>
 #include <peridotfall/clock.h>
@@ -13,20 +13,21 @@
 
 namespace {
 
-/// A session writes at one daemon and reads at another: the token goes with
-/// it. \return whether the second knows what the first wrote.
-bool roamingSession() {
+/// A session writes at one daemon and reads at another, to which it sends the
+/// token. \return whether the token tells the second daemon of the write.
+bool tokenCarriesSession() {
   auto keys = parseTokenKeys("december:a-secret-of-at-least-32-characters");
   if (!keys)
     return false;
   DatabaseName orders("orders");
   auto written = withSeen({}, orders, {.InTerm = 1, .Index = 17}, "order-17");
-  auto carried = signToken(written, keys.value());
-  auto read = verifyToken(carried, keys.value());
+  auto token = signToken(written, keys.value());
+  auto read = verifyToken(token, keys.value());
   return read && read.value().Databases.at(orders).Seen.Index == 17;
 }
 
-/// \return the daemon that owns a target, the same for whoever asks.
+/// \return the VM whose daemon owns a target. Every daemon with the same list
+/// of members computes the same owner.
 VmName ownerOf(const TargetName &target) {
   std::vector<Member> members(3);
   for (std::size_t n = 0; n < members.size(); ++n) {
@@ -39,12 +40,12 @@
       .Vm;
 }
 
-/// A target of two slots takes two statements; the third waits.
-/// \return how many began.
-int statementsBegun() {
+/// Offers three statements to a target with two slots, so that the third waits.
+/// \return the number of started statements.
+int countStartedStatements() {
   ManualClock clock;
   Admission admission(2, 1);
-  int begun = 0;
+  int started = 0;
   for (int n = 0; n < 3; ++n) {
     WorkItem item;
     item.Caller = CallerName("desk-" + std::to_string(n));
@@ -52,18 +53,18 @@
     item.Deadline = clock.now() + milliseconds(500);
     admission.offer(item, clock.now());
     if (admission.next(clock.now()))
-      ++begun;
+      ++started;
   }
-  return begun;
+  return started;
 }
 
 } // namespace
 
 int main() {
-  bool roams = roamingSession();
+  bool carried = tokenCarriesSession();
   auto owner = ownerOf(TargetName("orders-press"));
-  int begun = statementsBegun();
-  std::cout << "session roams: " << roams << "\nowner: " << owner.Value
-            << "\nstatements begun: " << begun << "\n";
-  return roams && !owner.empty() && begun == 2 ? 0 : 1;
+  int started = countStartedStatements();
+  std::cout << "session roams: " << carried << "\nowner: " << owner.Value
+            << "\nstatements begun: " << started << "\n";
+  return carried && !owner.empty() && started == 2 ? 0 : 1;
 }
