--- a/tests/config/distribution_test.cpp
+++ b/tests/config/distribution_test.cpp
@@ -55,8 +55,8 @@
     return "127.0.0.1:" + std::to_string(port);
   }
 
-  http::Response ask(std::uint16_t port, const std::string &method,
-                     const std::string &path, const std::string &body = "") {
+  http::Response send(std::uint16_t port, const std::string &method,
+                      const std::string &path, const std::string &body = "") {
     auto channel = std::make_shared<http::Channel>(Loops.at(0), address(port),
                                                    http::ChannelOptions{});
     http::Request request;
@@ -73,10 +73,10 @@
   }
 
   void apply(std::uint64_t expected) {
-    ask(Store->port(), "PUT",
-        "/objects/peridotfall/configuration?expected=" +
-            std::to_string(expected),
-        writeConfiguration(Config));
+    send(Store->port(), "PUT",
+         "/objects/peridotfall/configuration?expected=" +
+             std::to_string(expected),
+         writeConfiguration(Config));
   }
 
   void listVms() {
@@ -86,7 +86,7 @@
                      {"domain", "d"},
                      {"region", "r"},
                      {"address", address(Daemons[n]->innerPort())}});
-    ask(Store->port(), "POST", "/control", Json{{"vms", vms}}.dump());
+    send(Store->port(), "POST", "/control", Json{{"vms", vms}}.dump());
   }
 
   bool awaitRevision(Daemon &daemon, std::uint64_t revision) {
@@ -129,12 +129,12 @@
   REQUIRE(awaitRevision(first, 1));
   // Nothing listens on port 1.
   auto &alone = start("vm-2", "127.0.0.1:1");
-  auto answer = ask(alone.callerPort(), "GET", "/readyz");
+  auto answer = send(alone.callerPort(), "GET", "/readyz");
   CHECK(answer.Status == 503);
   CHECK(answer.Body.find("no peers known") != std::string::npos);
   auto &second = start("vm-3", "127.0.0.1:1", {address(first.innerPort())});
   CHECK(awaitRevision(second, 1));
-  CHECK(ask(second.callerPort(), "GET", "/readyz").Status == 200);
+  CHECK(send(second.callerPort(), "GET", "/readyz").Status == 200);
 }
 
 // The platform returns an older object, for example from a restored backup. A
