--- a/src/proxy/groups.cpp
+++ b/src/proxy/groups.cpp
@@ -74,15 +74,15 @@
   out.Statements = {ownStatement(beginning),
                     ownStatement(StatementKind::Rollback)};
   out.EndsLease = true;
-  out.Patience = limits::LeaderQueryTimeout;
+  out.Patience = limits::LeaderCheckTimeout;
   return out;
 }
 
 LeaseRequest queryRequest(const TargetName &target) {
   return {target,
           0,
-          limits::LeaderQueryTimeout,
-          2 * limits::LeaderQueryTimeout,
+          limits::LeaderCheckTimeout,
+          2 * limits::LeaderCheckTimeout,
           {}};
 }
 
--- a/src/proxy/groups.h
+++ b/src/proxy/groups.h
@@ -33,7 +33,7 @@
 /// A group without requests for this long is not in use.
 inline constexpr milliseconds GroupIdle{5'000};
 /// Of one query; far above a round trip of 16 ms.
-inline constexpr milliseconds LeaderQueryTimeout{300};
+inline constexpr milliseconds LeaderCheckTimeout{300};
 /// Longest time that writes are held during a planned hand-over, until a new
 /// primary is known. A promotion takes 0.3 to 1 s.
 inline constexpr milliseconds HandoverHold{2'500};
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -45,8 +45,8 @@
   auto &to = *it.Registry;
   auto &statements =
       counters(to, "peridotfall_statements_total",
-               "Callers' statements that needed a target, by the route's "
-               "guarantee and by outcome.");
+               "Callers' statements that a target was needed for, by the "
+               "route's guarantee and outcome.");
   auto &seconds =
       histograms(to, "peridotfall_statement_duration_seconds",
                  "Time from a statement's arrival to its answer, by route.");
@@ -57,31 +57,32 @@
       it.Statements[route][n] = &statements.Add(
           {{"route", RouteNames[route]}, {"outcome", OutcomeNames[n]}});
   }
-  it.Refusals = &counters(to, "peridotfall_refusals_total",
-                          "Statements rejected without being run, by reason.");
+  it.Refusals =
+      &counters(to, "peridotfall_refusals_total",
+                "Statements given up on that did not run, by reason.");
   it.Retries =
       &counters(to, "peridotfall_retries_total",
-                "Attempts after the first, by why the previous one failed.");
+                "Tries after the first, by why the one before failed.");
   auto &reads = counters(to, "peridotfall_reads_total",
                          "Reads that ran, by the target's role.");
   it.ReplicaReads = &reads.Add({{"served_by", "replica"}});
   it.PrimaryReads = &reads.Add({{"served_by", "primary"}});
   it.ReplicaReadAge =
       &histograms(to, "peridotfall_replica_read_age_seconds",
-                  "Upper bound on the age of the view of a read at a replica.")
+                  "Bound on how old the view of a read at a replica was.")
            .Add({}, buckets());
-  it.RefusedWait = &histograms(to, "peridotfall_refused_wait_seconds",
-                               "Time that a rejected statement had waited.")
-                        .Add({}, buckets());
-  auto &waits =
-      histograms(to, "peridotfall_wait_seconds",
-                 "Time that statements waited before they were sent to "
-                 "a target, by what they waited for.");
+  it.RefusedWait =
+      &histograms(to, "peridotfall_refused_wait_seconds",
+                  "Time that a statement had waited when it was refused.")
+           .Add({}, buckets());
+  auto &waits = histograms(to, "peridotfall_wait_seconds",
+                           "Time that statements waited before a target had "
+                           "them, by what they waited for.");
   for (std::size_t n = 0; n < WaitReasons; ++n)
     it.Waits[n] = &waits.Add({{"for", WaitReasonNames[n]}}, buckets());
   it.Answers = &counters(to, "peridotfall_target_answers_total",
-                         "Answers of targets to statements, by result; "
-                         "none: the connection was lost or timed out.");
+                         "Answers of targets to statements, by what they say; "
+                         "none: the connection was lost or silent.");
   it.AnswersOk = &it.Answers->Add({{"answer", "ok"}});
   auto &parts = histograms(to, "peridotfall_primary_change_seconds",
                            "Parts of the changes of primary that this daemon "
@@ -98,15 +99,15 @@
            .Add({});
   it.StoreCalls = &counters(
       to, "peridotfall_store_calls_total",
-      "Calls to the platform's store, by kind of objects and whether it "
+      "Calls on the platform's store, by kind of objects and whether it "
       "answered.");
   it.SnapshotBytes = &counters(
       to, "peridotfall_copy_bytes_total",
-      "Bytes of snapshots of the store's objects, by kind: sent to other "
-      "daemons; received from them or from the store, also if incomplete.");
+      "Bytes of copies of the store's objects, by kind: sent to other daemons; "
+      "received from them or from the store, given up on or not.");
   it.PresentValues = &prometheus::BuildGauge()
                           .Name("peridotfall_now")
-                          .Help("Present values, by name.")
+                          .Help("Present values; the label says of what.")
                           .Register(to);
   it.StoreAge = &prometheus::BuildGauge()
                      .Name("peridotfall_store_answer_age_seconds")
