--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -102,8 +102,9 @@
     constexpr int MaxAttempts = 400;
     bool replicated = false;
     for (std::size_t n = 0; n < Domains; ++n)
-      replicated = replicated || (n != target && Sim.Targets[n].Alive &&
-                                  failover::holds(Sim.Targets[n].Report, at));
+      replicated =
+          replicated || (n != target && Sim.Targets[n].Alive &&
+                         failover::isReplicated(Sim.Targets[n].Report, at));
     const auto &primary = Sim.Targets[target];
     bool stillPrimary = primary.Alive && primary.Report.IsPrimary &&
                         primary.Report.CurrentTerm == at.InTerm;
@@ -166,7 +167,7 @@
   auto renewed = milliseconds(sim.below(static_cast<std::uint64_t>(
       LeaseRenewalInterval.count()))); // Before the failure.
   auto remaining = LeaseDuration - renewed;
-  auto platformRoundTrip = 2 * sim.delay(1, PlatformPlace); // Watch, update.
+  auto platformRoundTrip = 2 * sim.delay(1, PlatformIndex); // Watch, update.
   auto fenceAndPromote = 4 * sim.delay(1, 2);
   auto write = 2 * sim.delay(1, 2) + 2 * Duration(delays.Client);
   auto retry = milliseconds(
@@ -236,7 +237,7 @@
 class ConfirmationRun {
 public:
   ConfirmationRun(Simulation &sim, std::size_t maxRounds) : Sim(sim) {
-    State.MostRounds = maxRounds;
+    State.MaxRounds = maxRounds;
   }
 
   void run(unsigned writes, double perSecond) {
@@ -269,13 +270,13 @@
     for (const auto &it : actions)
       std::visit([this](const auto &n) { perform(n); }, it);
   }
-  void perform(const AskReplicas &it) {
+  void perform(const QueryReplicas &it) {
     for (std::size_t n = 1; n < Domains; ++n) {
       ++CallCount;
       Sim.after(Sim.delay(0, n), [this, it, n] { awaitIndex(it, n); });
     }
   }
-  void awaitIndex(const AskReplicas &it, std::size_t n) {
+  void awaitIndex(const QueryReplicas &it, std::size_t n) {
     if (ReplicaIndexes[n] < it.At.Index) {
       Sim.after(microseconds(100), [this, it, n] { awaitIndex(it, n); });
       return;
@@ -285,15 +286,15 @@
       performAll(onReplica(State, it.Round, report, Sim.now()));
     });
   }
-  void perform(const AskPrimary &it) {
+  void perform(const QueryPrimary &it) {
     ++CallCount;
     Sim.after(2 * Sim.delay(0, 0), [this, it] {
       TargetReport report{1, true, {1, Last}, {}, false};
       performAll(onPrimary(State, it.Round, report, Sim.now()));
     });
   }
-  void perform(const Confirmed &it) {
-    if (it.Safe)
+  void perform(const ConfirmResult &it) {
+    if (it.IsConfirmed)
       AddedDelays.push_back(Sim.now() - StartTimes[it.Ticket]);
   }
 
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -30,7 +30,7 @@
 Json toJson(const LoadOutcome &it) {
   return {{"all", toJson(it.All)},
           {"short", toJson(it.Short)},
-          {"again", toJson(it.Again)},
+          {"again", toJson(it.Retries)},
           {"record", toJson(it.Classes[0])},
           {"fresh", toJson(it.Classes[1])},
           {"stale", toJson(it.Classes[2])},
@@ -79,13 +79,13 @@
       ms(it.Short.Median), ms(it.Short.Percentile99), 100 * it.LightInTime,
       it.Fairness, 100 * it.StaleOnReplica, 100 * it.ReadsOnReplica, recovery,
       ms(it.Refusal99), 100 * it.LateRefusals,
-      percent(it.Again.InTime, it.Again.Sent),
+      percent(it.Retries.InTime, it.Retries.Sent),
       static_cast<double>(it.LinkBytes) / Kilo);
 }
 
 std::vector<LoadPlan> plans() {
-  std::vector<LoadPlan> out{burst(),      burstComingBack(), oneCaller(),
-                            slowTarget(), shortOnly(),       longMix(),
+  std::vector<LoadPlan> out{burst(),      burstWithRetries(), oneCaller(),
+                            slowTarget(), shortOnly(),        longMix(),
                             saturation()};
   for (int lag : {0, 100, 500, 1'000, 2'000, 5'000})
     out.push_back(lagging(milliseconds(lag)));
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -16,7 +16,7 @@
   std::cout << fmt::format(
       "{:<34} {:>5}/{:<5} {:>7} {:>7} {:>7} {:>9} {:>9}\n", name, it.size(),
       out.Alive, it[it.size() / 2].count(), it[it.size() * 99 / 100].count(),
-      out.last().count(), out.Messages, out.MostSent);
+      out.last().count(), out.Messages, out.MaxSent);
 }
 
 } // namespace
--- a/fuzz/lease_fuzz.cpp
+++ b/fuzz/lease_fuzz.cpp
@@ -2,8 +2,8 @@
 // and snapshots of stored objects.
 
 #include "fuzz.h"
-#include "messages/copy.h"
 #include "messages/lease.h"
+#include "messages/snapshot.h"
 
 using namespace peridotfall;
 
@@ -18,7 +18,7 @@
 }
 
 /// Has the same text for every name and revision.
-const std::string *findCached(const messages::HeldObject &) {
+const std::string *findCached(const messages::CachedObjectId &) {
   static const std::string Text(1'000, 'x');
   return &Text;
 }
@@ -30,12 +30,12 @@
   checkRoundTrip(bytes, messages::decodeRunLease);
   checkRoundTrip(bytes, messages::decodeAbandonLease);
   checkRoundTrip(bytes, messages::decodeLeaseAnswer);
-  checkRoundTrip(bytes, messages::decodeLeadQuestion);
-  checkRoundTrip(bytes, messages::decodeLeadView);
-  checkRoundTrip(bytes, messages::decodeCopyRequest);
+  checkRoundTrip(bytes, messages::decodeLeaderQuery);
+  checkRoundTrip(bytes, messages::decodeLeaderView);
+  checkRoundTrip(bytes, messages::decodeSnapshotRequest);
   checkRoundTrip(bytes, messages::decodeWatchRequest);
   checkRoundTrip(bytes, [](const std::string &it) {
-    return messages::decodeCopyAnswer(it, findCached);
+    return messages::decodeSnapshotAnswer(it, findCached);
   });
   checkRoundTrip(bytes, [](const std::string &it) {
     return messages::decodeWatchAnswer(it, findCached);
--- a/include/peridotfall/failover.h
+++ b/include/peridotfall/failover.h
@@ -70,7 +70,7 @@
   auto operator<=>(const TargetObservation &) const = default;
 };
 
-using Sights = std::map<TargetName, TargetObservation>;
+using TargetObservations = std::map<TargetName, TargetObservation>;
 
 /// A term and the only target that may be promoted in it.
 struct Successor {
@@ -118,10 +118,10 @@
 };
 /// Requests another owner's observations: onPeerView if it answers, and
 /// onPeerObject if it has a newer version of the group object.
-struct AskPeer {
+struct QueryPeer {
   VmName Vm;
   std::uint64_t Version = 0; ///< Of the group object as cached by this owner.
-  auto operator<=>(const AskPeer &) const = default;
+  auto operator<=>(const QueryPeer &) const = default;
 };
 struct Fence { ///< onFenced.
   TargetName Target;
@@ -188,7 +188,7 @@
 };
 
 using Action =
-    std::variant<Probe, AskPeer, Fence, Promote, Follow, GetObject, PutObject,
+    std::variant<Probe, QueryPeer, Fence, Promote, Follow, GetObject, PutObject,
                  HoldWrites, PrimaryChanged, CampaignBegun, CampaignFailed,
                  TermsExhausted, HandoverFailed>;
 using Actions = std::vector<Action>;
@@ -208,7 +208,7 @@
 
 /// The last observations received from another owner.
 struct PeerRecord {
-  Sights Seen;
+  TargetObservations Seen;
   TimePoint At;
 };
 
@@ -293,8 +293,8 @@
 /// A probe failed; only the missing answer is recorded.
 Actions onUnreachable(GroupState &group, const TargetName &target,
                       TimePoint now);
-Actions onPeerView(GroupState &group, const VmName &peer, Sights seen,
-                   TimePoint now);
+Actions onPeerView(GroupState &group, const VmName &peer,
+                   TargetObservations seen, TimePoint now);
 /// Another owner has read a newer group object from the platform.
 Actions onPeerObject(GroupState &group, const VersionedObject &object,
                      TimePoint now);
@@ -316,13 +316,13 @@
                   TimePoint now);
 
 /// This owner's observations, sent to the other owners.
-Sights sightsOf(const GroupState &group, TimePoint now);
+TargetObservations observationsOf(const GroupState &group, TimePoint now);
 /// \return the cached group object if it is newer than \p version.
 std::optional<VersionedObject> newerObject(const GroupState &group,
                                            std::uint64_t version);
 /// \return the primary among the observed targets: it answers, and no majority
 /// of the targets has accepted a higher term. Empty if there is none.
-TargetName leaderOf(const Sights &seen);
+TargetName leaderOf(const TargetObservations &seen);
 
 } // namespace peridotfall::failover
 
--- a/include/peridotfall/membership.h
+++ b/include/peridotfall/membership.h
@@ -48,7 +48,7 @@
 /// higher (Incarnation, Version) wins; if these are equal, the sets of
 /// suspecting daemons are merged.
 struct MemberRecord {
-  Member It;
+  Member Info;
   /// Incremented by the member itself to refute a suspicion or to announce
   /// that it leaves.
   std::uint64_t Version = 0;
@@ -95,19 +95,19 @@
   Membership(Member self, MembershipOptions options, std::uint64_t seed);
 
   /// Merges the platform's list.
-  void takeList(const std::vector<Member> &list, TimePoint now);
+  void updateList(const std::vector<Member> &list, TimePoint now);
   /// \return the members to probe now. The result of each probe is reported
-  /// by takeAnswer or takeMiss.
+  /// by handleAnswer or handleMiss.
   std::vector<Member> probesDue(TimePoint now);
   /// \param asked the probed member. \param answered the daemon that answered,
   /// which differs if a VM was replaced.
-  void takeAnswer(const Member &asked, const MemberRecord &answered,
-                  TimePoint now);
-  void takeMiss(const Member &asked, TimePoint now);
+  void handleAnswer(const Member &asked, const MemberRecord &answered,
+                    TimePoint now);
+  void handleMiss(const Member &asked, TimePoint now);
   /// Merges a daemon's own record, received without a probe.
-  void takeContact(const MemberRecord &from, TimePoint now);
+  void handleContact(const MemberRecord &from, TimePoint now);
   /// Merges the records of other members that a daemon sent.
-  void takeNews(const std::vector<MemberRecord> &records, TimePoint now);
+  void handleGossip(const std::vector<MemberRecord> &records, TimePoint now);
   /// Marks this daemon as leaving: from now on it owns no targets.
   void leave(TimePoint now);
   /// Raises this daemon's incarnation, which comes from the clock. If the clock
@@ -125,10 +125,11 @@
   std::optional<Member> findMember(const VmName &vm) const;
   bool isSuspected(const VmName &vm) const;
   /// \return the recently changed records, newest first.
-  std::vector<MemberRecord> recent(TimePoint now, std::size_t maxRecords) const;
+  std::vector<MemberRecord> recentChanges(TimePoint now,
+                                          std::size_t maxRecords) const;
   /// \return the record of a daemon that any daemon suspects, to be sent to it
   /// so that it can refute the suspicion; empty if no daemon suspects it.
-  std::vector<MemberRecord> about(const VmName &vm) const;
+  std::vector<MemberRecord> recordsAbout(const VmName &vm) const;
   /// \return this daemon's own observations since the last call, to be
   /// announced to others.
   std::vector<MemberRecord> takeObserved();
--- a/include/peridotfall/placement.h
+++ b/include/peridotfall/placement.h
@@ -80,7 +80,7 @@
   bool IsPrimary = false;
   bool Reachable = true;
   bool Leaving = false;
-  Distance Far = Distance::SameDomain;
+  Distance TargetDistance = Distance::SameDomain;
   Position Applied; ///< Zero: not known.
   std::optional<Duration>
       Age; ///< Upper bound of the age of its data, if known.
@@ -158,7 +158,7 @@
 };
 
 /// \return the assumed round-trip time.
-Duration wayOf(Distance it);
+Duration roundTripTime(Distance it);
 
 /// Places the reads of one database at one entry daemon. Not thread-safe.
 class Placement {
--- a/src/config/fan_out.cpp
+++ b/src/config/fan_out.cpp
@@ -28,10 +28,11 @@
     if (it.Domain == self.Domain && !it.Leaving && !it.ServesTarget &&
         rank(it) < rank(self))
       ++ahead;
-  return ahead < WatchersOfDomain;
+  return ahead < WatchersPerDomain;
 }
 
-RelayTreeOrder arrange(const std::vector<Member> &live, const RelayTree &tree) {
+RelayTreeOrder buildRelayOrder(const std::vector<Member> &live,
+                               const RelayTree &tree) {
   std::map<DomainName, std::vector<std::pair<std::uint64_t, const Member *>>>
       ranked;
   for (const auto &it : live)
--- a/src/config/fan_out.h
+++ b/src/config/fan_out.h
@@ -16,7 +16,7 @@
 /// seconds, would use much of the platform's capacity. Two are enough: if one
 /// fails, the other continues, and the next in rank takes over once the
 /// membership notices the failure.
-inline constexpr std::size_t WatchersOfDomain = 2;
+inline constexpr std::size_t WatchersPerDomain = 2;
 
 /// Members to which one daemon relays a change within its failure domain. With
 /// 8, a change reaches a domain of 300 daemons in three steps, and no daemon
@@ -39,7 +39,8 @@
 /// The members by failure domain, in the order of a root's tree: the children
 /// of element i are the elements i * FanOut + 1 to (i + 1) * FanOut.
 using RelayTreeOrder = std::map<DomainName, std::vector<Member>>;
-RelayTreeOrder arrange(const std::vector<Member> &live, const RelayTree &tree);
+RelayTreeOrder buildRelayOrder(const std::vector<Member> &live,
+                               const RelayTree &tree);
 
 /// \return the members to which \p self relays. The root relays to one member
 /// of each other domain, so that a change crosses a link between regions once;
--- a/src/config/in_force.h
+++ b/src/config/in_force.h
@@ -21,7 +21,7 @@
   /// Replaces the configuration if \p it has a higher revision. Several
   /// watches deliver it concurrently and an old answer may arrive last; the
   /// comparison prevents a rollback. \return whether it was replaced.
-  bool offer(Configuration it) {
+  bool updateIfNewer(Configuration it) {
     std::lock_guard guard(Lock);
     if (Current && it.Revision <= Current->Revision)
       return false;
--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -153,7 +153,7 @@
   case AnswerCode::KeyMismatch:
     return http::StatusUnprocessable;
   case AnswerCode::BadRequest:
-    return http::StatusBad;
+    return http::StatusBadRequest;
   case AnswerCode::UnknownDatabase:
     return http::StatusNotFound;
   case AnswerCode::TransactionGone:
@@ -233,7 +233,7 @@
     return problem(http::StatusNotFound, AnswerCode::BadRequest,
                    {"path", "a path of the API", request.Path});
   if (request.Method != "POST")
-    return problem(http::StatusBad, AnswerCode::BadRequest,
+    return problem(http::StatusBadRequest, AnswerCode::BadRequest,
                    {"method", "POST", request.Method});
   if (!config)
     return problem(http::StatusUnavailable, AnswerCode::Unavailable,
--- a/src/daemon/configuration_relay.cpp
+++ b/src/daemon/configuration_relay.cpp
@@ -119,9 +119,9 @@
   }
 }
 
-messages::News
+messages::GossipMessage
 ConfigurationRelay::makeGossip(const std::vector<MemberRecord> &members) {
-  messages::News it;
+  messages::GossipMessage it;
   it.From = Peers.withMembership([](Membership &n) { return n.self(); });
   auto config = Config.get();
   it.Revision = config ? config->Revision : 0;
@@ -149,49 +149,50 @@
 void ConfigurationRelay::probe(const Member &member) {
   auto now = Time.now();
   auto gossipRecords = Peers.withMembership([&](Membership &it) {
-    auto records = it.recent(now, MaxRelayedRecords);
-    for (auto &record : it.about(member.Vm))
+    auto records = it.recentChanges(now, MaxRelayedRecords);
+    for (auto &record : it.recordsAbout(member.Vm))
       records.push_back(std::move(record));
     return records;
   });
-  call(member.InnerAddress, messages::NewsPath,
+  call(member.InnerAddress, messages::GossipPath,
        messages::encode(makeGossip(gossipRecords)),
-       http::wholeWithin(GossipTimeout),
+       http::totalTimeout(GossipTimeout),
        [this, member](const http::CallResult &result) {
          auto gossip = result && result.value().Status == http::StatusOk
-                           ? messages::decodeNews(result.value().Body)
-                           : Result<messages::News>(Error{});
+                           ? messages::decodeGossip(result.value().Body)
+                           : Result<messages::GossipMessage>(Error{});
          Peers.withMembership([&](Membership &it) {
            if (gossip)
-             it.takeAnswer(member, gossip.value().From, Time.now());
+             it.handleAnswer(member, gossip.value().From, Time.now());
            else
-             it.takeMiss(member, Time.now());
+             it.handleMiss(member, Time.now());
          });
          if (gossip)
            handleGossip(gossip.value(), true, [] {});
        });
 }
 
-messages::News ConfigurationRelay::answerGossip(const messages::News &gossip) {
+messages::GossipMessage
+ConfigurationRelay::answerGossip(const messages::GossipMessage &gossip) {
   auto now = Time.now();
   auto gossipRecords = Peers.withMembership([&](Membership &it) {
-    auto records = it.recent(now, MaxRelayedRecords);
-    for (auto &record : it.about(gossip.From.It.Vm))
+    auto records = it.recentChanges(now, MaxRelayedRecords);
+    for (auto &record : it.recordsAbout(gossip.From.Info.Vm))
       records.push_back(std::move(record));
     return records;
   });
   return makeGossip(gossipRecords);
 }
 
-void ConfigurationRelay::handleGossip(const messages::News &gossip,
+void ConfigurationRelay::handleGossip(const messages::GossipMessage &gossip,
                                       bool announceToDomain, const Done &done) {
   Peers.withMembership([&](Membership &it) {
-    it.takeContact(gossip.From, Time.now());
-    it.takeNews(gossip.Members, Time.now());
+    it.handleContact(gossip.From, Time.now());
+    it.handleGossip(gossip.Members, Time.now());
   });
   auto it = gossip;
-  if (it.Holder.empty())
-    it.Holder = it.From.It.InnerAddress;
+  if (it.FetchAddress.empty())
+    it.FetchAddress = it.From.Info.InnerAddress;
   fetchNewerConfiguration(it, announceToDomain,
                           [this, it, done] { fetchNewerList(it, done); });
 }
@@ -202,25 +203,25 @@
     next();
 }
 
-void ConfigurationRelay::fetchNewerConfiguration(const messages::News &gossip,
-                                                 bool announceToDomain,
-                                                 const Done &done) {
+void ConfigurationRelay::fetchNewerConfiguration(
+    const messages::GossipMessage &gossip, bool announceToDomain,
+    const Done &done) {
   auto config = Config.get();
   if (gossip.Revision <= (config ? config->Revision : 0))
     return done();
   if (!ConfigurationFetch.Busy)
-    return fetchConfiguration(gossip.Holder, announceToDomain, done);
+    return fetchConfiguration(gossip.FetchAddress, announceToDomain, done);
   ConfigurationFetch.Queued.push_back([this, gossip, announceToDomain, done] {
     fetchNewerConfiguration(gossip, announceToDomain, done);
   });
 }
 
-void ConfigurationRelay::fetchNewerList(const messages::News &gossip,
+void ConfigurationRelay::fetchNewerList(const messages::GossipMessage &gossip,
                                         const Done &done) {
-  if (!Vms.wants(gossip.ListStamp, gossip.ListDigest, wallMillis()))
+  if (!Vms.shouldFetch(gossip.ListStamp, gossip.ListDigest, wallMillis()))
     return done();
   if (!ListFetch.Busy)
-    return fetchList(gossip.Holder, done);
+    return fetchList(gossip.FetchAddress, done);
   ListFetch.Queued.push_back(
       [this, gossip, done] { fetchNewerList(gossip, done); });
 }
@@ -236,7 +237,7 @@
                                             const Done &done) {
   ConfigurationFetch.Busy = true;
   call(address, messages::ConfigurationPath, "",
-       http::beginsWithin(FetchTimeout),
+       http::firstByteTimeout(FetchTimeout),
        [this, announceToDomain, address, done](const http::CallResult &result) {
          auto config =
              result && result.value().Status == http::StatusOk
@@ -256,7 +257,7 @@
 void ConfigurationRelay::fetchList(const std::string &address,
                                    const Done &done) {
   ListFetch.Busy = true;
-  call(address, messages::MembersPath, "", http::beginsWithin(FetchTimeout),
+  call(address, messages::MembersPath, "", http::firstByteTimeout(FetchTimeout),
        [this, done](const http::CallResult &result) {
          if (result && result.value().Status == http::StatusOk) {
            auto list = messages::decodeVmList(result.value().Body);
@@ -271,7 +272,7 @@
 bool ConfigurationRelay::applyConfiguration(Configuration config) {
   auto revision = config.Revision;
   auto id = config.Id;
-  if (!Config.offer(std::move(config)))
+  if (!Config.updateIfNewer(std::move(config)))
     return false;
   telemetry::log(Event::ConfigurationInForce,
                  {field("revision", revision), field("id", id)});
@@ -279,7 +280,7 @@
 }
 
 bool ConfigurationRelay::applyList(const messages::VmList &list) {
-  if (!Vms.offerRelayed(list.Members, list.Stamp, wallMillis()))
+  if (!Vms.updateRelayed(list.Members, list.Stamp, wallMillis()))
     return false;
   Peers.setMembers(Vms.list());
   return true;
@@ -294,7 +295,7 @@
 
 void ConfigurationRelay::offerList(std::vector<Member> list) {
   post([this, list = std::move(list)] {
-    if (!Vms.offerPolled(list, wallMillis()))
+    if (!Vms.updatePolled(list, wallMillis()))
       return;
     Peers.setMembers(Vms.list());
     announce({}, false);
@@ -316,23 +317,23 @@
                                   bool domainOnly) {
   auto gossip = makeGossip(members);
   gossip.TreeId = Random() | 1;
-  gossip.Along = {Peers.self().Vm, domainOnly};
+  gossip.ForwardTree = {Peers.self().Vm, domainOnly};
   markSeen(gossip.TreeId);
   forwardToChildren(gossip, Peers.self().Vm);
 }
 
-void ConfigurationRelay::forwardToChildren(const messages::News &gossip,
-                                           const VmName &node) {
-  auto order = arrange(Peers.members(), gossip.Along);
-  for (const auto &it : childrenOf(order, gossip.Along, node))
+void ConfigurationRelay::forwardToChildren(
+    const messages::GossipMessage &gossip, const VmName &node) {
+  auto order = buildRelayOrder(Peers.members(), gossip.ForwardTree);
+  for (const auto &it : childrenOf(order, gossip.ForwardTree, node))
     if (it.Vm != Peers.self().Vm)
       send(it, gossip);
 }
 
 void ConfigurationRelay::send(const Member &child,
-                              const messages::News &gossip) {
-  call(child.InnerAddress, messages::NewsPath, messages::encode(gossip),
-       http::wholeWithin(GossipTimeout),
+                              const messages::GossipMessage &gossip) {
+  call(child.InnerAddress, messages::GossipPath, messages::encode(gossip),
+       http::totalTimeout(GossipTimeout),
        [this, child, gossip](const http::CallResult &result) {
          // If an inner node of the tree is dead or cut off, all members below
          // it would learn of the change only when they compare state with a
@@ -363,11 +364,11 @@
     });
     return true;
   }
-  if (request.Path != messages::NewsPath)
+  if (request.Path != messages::GossipPath)
     return false;
-  auto gossip = messages::decodeNews(request.Body);
+  auto gossip = messages::decodeGossip(request.Body);
   if (!gossip) {
-    respond({http::StatusBad, {}, ""});
+    respond({http::StatusBadRequest, {}, ""});
     return true;
   }
   post([this, gossip = std::move(gossip.value()), respond] {
@@ -382,11 +383,12 @@
       if (own.Revision >= gossip.Revision) {
         next = own;
         next.TreeId = gossip.TreeId;
-        next.Along = gossip.Along;
+        next.ForwardTree = gossip.ForwardTree;
       } else {
         next.From = own.From;
-        next.Holder =
-            gossip.Holder.empty() ? gossip.From.It.InnerAddress : gossip.Holder;
+        next.FetchAddress = gossip.FetchAddress.empty()
+                                ? gossip.From.Info.InnerAddress
+                                : gossip.FetchAddress;
       }
       forwardToChildren(next, Peers.self().Vm);
     });
--- a/src/daemon/configuration_relay.h
+++ b/src/daemon/configuration_relay.h
@@ -63,14 +63,14 @@
   void post(std::function<void()> action);
   void tick();
   void fetchFromSeeds();
-  messages::News makeGossip(const std::vector<MemberRecord> &members);
+  messages::GossipMessage makeGossip(const std::vector<MemberRecord> &members);
   void probe(const Member &member);
-  messages::News answerGossip(const messages::News &gossip);
-  void handleGossip(const messages::News &gossip, bool announceToDomain,
-                    const Done &done);
-  void fetchNewerConfiguration(const messages::News &gossip,
+  messages::GossipMessage answerGossip(const messages::GossipMessage &gossip);
+  void handleGossip(const messages::GossipMessage &gossip,
+                    bool announceToDomain, const Done &done);
+  void fetchNewerConfiguration(const messages::GossipMessage &gossip,
                                bool announceToDomain, const Done &done);
-  void fetchNewerList(const messages::News &gossip, const Done &done);
+  void fetchNewerList(const messages::GossipMessage &gossip, const Done &done);
   void fetchConfiguration(const std::string &address, bool announceToDomain,
                           const Done &done);
   void fetchList(const std::string &address, const Done &done);
@@ -78,8 +78,9 @@
   bool applyConfiguration(Configuration config);
   bool applyList(const messages::VmList &list);
   void announce(const std::vector<MemberRecord> &members, bool domainOnly);
-  void forwardToChildren(const messages::News &gossip, const VmName &node);
-  void send(const Member &child, const messages::News &gossip);
+  void forwardToChildren(const messages::GossipMessage &gossip,
+                         const VmName &node);
+  void send(const Member &child, const messages::GossipMessage &gossip);
   /// \return false if the announcement was seen before.
   bool markSeen(std::uint64_t treeId);
   void call(const std::string &address, const char *path, std::string body,
--- a/src/daemon/confirm.cpp
+++ b/src/daemon/confirm.cpp
@@ -27,22 +27,22 @@
     std::lock_guard guard(rounds->Lock);
     actions = step(rounds->State);
     for (const auto &it : actions)
-      if (const auto *done = std::get_if<failover::Confirmed>(&it)) {
+      if (const auto *done = std::get_if<failover::ConfirmResult>(&it)) {
         auto waiting = rounds->Waiting.extract(done->Ticket);
-        answers.emplace_back(std::move(waiting.mapped()), done->Safe);
+        answers.emplace_back(std::move(waiting.mapped()), done->IsConfirmed);
       }
   }
   for (const auto &it : actions)
-    if (const auto *replicas = std::get_if<failover::AskReplicas>(&it))
+    if (const auto *replicas = std::get_if<failover::QueryReplicas>(&it))
       query(clock, rounds, *replicas);
-    else if (const auto *primary = std::get_if<failover::AskPrimary>(&it))
+    else if (const auto *primary = std::get_if<failover::QueryPrimary>(&it))
       query(clock, rounds, *primary);
   for (const auto &[done, safe] : answers)
     done(safe);
 }
 
 void Confirmer::query(const Clock &clock, const RoundsPtr &rounds,
-                      const failover::AskReplicas &it) {
+                      const failover::QueryReplicas &it) {
   auto done = [&clock, rounds, it](const Result<target::Status> &status) {
     std::optional<TargetReport> report;
     if (status)
@@ -61,7 +61,7 @@
 }
 
 void Confirmer::query(const Clock &clock, const RoundsPtr &rounds,
-                      const failover::AskPrimary &it) {
+                      const failover::QueryPrimary &it) {
   auto done = [&clock, rounds, it](const Result<target::Status> &status) {
     std::optional<TargetReport> report;
     if (status)
--- a/src/daemon/confirm.h
+++ b/src/daemon/confirm.h
@@ -47,9 +47,9 @@
   static void run(const Clock &clock, const RoundsPtr &rounds,
                   const Step &step);
   static void query(const Clock &clock, const RoundsPtr &rounds,
-                    const failover::AskReplicas &it);
+                    const failover::QueryReplicas &it);
   static void query(const Clock &clock, const RoundsPtr &rounds,
-                    const failover::AskPrimary &it);
+                    const failover::QueryPrimary &it);
 
   const Clock &Time;
   Targets &Apis;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -117,10 +117,10 @@
   Traces->start();
   Sync->start();
   Failover->start([this] {
-    LocalOwner->giveUpLate();
-    LocalOwner->tend([this](const TargetConfig &it) {
+    LocalOwner->expireConfirmations();
+    LocalOwner->runMaintenance([this](const TargetConfig &it) {
       auto config = Config.get();
-      auto ranked = Peers.ranked(*config, it);
+      auto ranked = Peers.membersByRank(*config, it);
       return ranked.empty() || ranked.front().Vm == Peers.self().Vm;
     });
   });
@@ -217,7 +217,7 @@
   RoutedRequest routed{in.Statement,
                        entry == in.Session.Databases.end() ? SessionEntry{}
                                                            : entry->second,
-                       request.Gone};
+                       request.Cancelled};
   auto span =
       Traces->startSpan(telemetry::Hop::Entry, in.Statement.Traceparent);
   routed.Request.Traceparent = span.traceparent();
@@ -269,7 +269,7 @@
   }
   auto decoded = messages::decodeStatementRequest(request.Body);
   if (!decoded) {
-    respond({http::StatusBad, {}, ""});
+    respond({http::StatusBadRequest, {}, ""});
     return;
   }
   telemetry::countBytes(Metrics, Link::Inner, Direction::In,
@@ -278,7 +278,7 @@
       Traces->startSpan(telemetry::Hop::Inner, decoded.value().Traceparent);
   decoded.value().Traceparent = span.traceparent();
   LocalOwner->execute(
-      std::move(decoded.value()), request.Gone,
+      std::move(decoded.value()), request.Cancelled,
       [this, respond, span = std::move(span)](const StatementAnswer &answer) {
         Traces->finishSpan(span);
         auto body = messages::encode(answer);
--- a/src/daemon/failover_calls.cpp
+++ b/src/daemon/failover_calls.cpp
@@ -50,8 +50,8 @@
   view.Reachable = status.has_value();
   view.SeenAt = Time.now();
   if (status)
-    view.Last = status.value();
-  Views.learnStatus(group->Config.Name, target, view);
+    view.LastStatus = status.value();
+  Views.updateStatus(group->Config.Name, target, view);
 }
 
 void FailoverDriver::perform(const GroupPtr &group, const failover::Probe &it) {
@@ -86,7 +86,7 @@
 }
 
 void FailoverDriver::perform(const GroupPtr &group,
-                             const failover::AskPeer &it) {
+                             const failover::QueryPeer &it) {
   auto peer = Peers.find(it.Vm);
   if (!peer)
     return;
@@ -102,7 +102,8 @@
     auto answer = messages::decodeGroupViewAnswer(result.value().Body);
     // An empty view comes from a daemon that does not watch the group. It must
     // not count as a report that the primary is unreachable.
-    if (!answer || answer.value().Seen.empty() || answer.value().Vm != it.Vm)
+    if (!answer || answer.value().Observations.empty() ||
+        answer.value().Vm != it.Vm)
       return;
     auto now = self->Time.now();
     if (const auto &object = answer.value().Object)
@@ -110,8 +111,8 @@
         return failover::onPeerObject(state, *object, now);
       });
     self->run(group, [&](failover::GroupState &state) {
-      return failover::onPeerView(state, it.Vm, std::move(answer.value().Seen),
-                                  now);
+      return failover::onPeerView(state, it.Vm,
+                                  std::move(answer.value().Observations), now);
     });
   };
   Peers.channel(peer->InnerAddress)
@@ -221,7 +222,7 @@
 
 void FailoverDriver::perform(const GroupPtr &group,
                              const failover::PrimaryChanged &it) {
-  Views.learnPrimary(group->Config.Name, it.InTerm, it.Primary);
+  Views.updatePrimary(group->Config.Name, it.InTerm, it.Primary);
   telemetry::log(Event::PrimaryChanged,
                  {field("database", group->Config.Name.Value),
                   field("primary", it.Primary.Value),
--- a/src/daemon/failover_driver.cpp
+++ b/src/daemon/failover_driver.cpp
@@ -100,7 +100,7 @@
   std::vector<failover::OwnedTarget> owners;
   bool ours = false;
   for (const auto &it : database.Targets) {
-    auto ranked = Peers.ranked(config, it);
+    auto ranked = Peers.membersByRank(config, it);
     owners.push_back({it.Name, ranked.empty() ? VmName() : ranked.front().Vm});
     ours = ours || owners.back().Owner == Peers.self().Vm;
   }
@@ -136,7 +136,7 @@
   std::lock_guard guard(group->Lock);
   return messages::encode(messages::GroupViewAnswer{
       request.value().Database, Peers.self().Vm,
-      failover::sightsOf(group->State, Time.now()),
+      failover::observationsOf(group->State, Time.now()),
       failover::newerObject(group->State, request.value().ObjectVersion)});
 }
 
--- a/src/daemon/failover_driver.h
+++ b/src/daemon/failover_driver.h
@@ -66,7 +66,7 @@
   void run(const GroupPtr &group, const Step &step);
 
   void perform(const GroupPtr &group, const failover::Probe &it);
-  void perform(const GroupPtr &group, const failover::AskPeer &it);
+  void perform(const GroupPtr &group, const failover::QueryPeer &it);
   void perform(const GroupPtr &group, const failover::Fence &it);
   void perform(const GroupPtr &group, const failover::Promote &it);
   void perform(const GroupPtr &group, const failover::Follow &it);
--- a/src/daemon/fleet.cpp
+++ b/src/daemon/fleet.cpp
@@ -30,7 +30,7 @@
 bool Fleet::setMembers(const std::vector<Member> &members) {
   std::lock_guard guard(Lock);
   auto before = View.generation();
-  View.takeList(members, Time.now());
+  View.updateList(members, Time.now());
   return View.generation() != before;
 }
 
@@ -39,8 +39,8 @@
   return View.findMember(vm);
 }
 
-std::vector<Member> Fleet::ranked(const Configuration &config,
-                                  const TargetConfig &target) const {
+std::vector<Member> Fleet::membersByRank(const Configuration &config,
+                                         const TargetConfig &target) const {
   std::lock_guard guard(Lock);
   auto &it = RankCache[target.Name];
   if (it.Generation == View.generation() && it.Revision == config.Revision)
--- a/src/daemon/fleet.h
+++ b/src/daemon/fleet.h
@@ -36,8 +36,8 @@
   /// \return a member, even if it is suspected.
   std::optional<Member> find(const VmName &vm) const;
   /// \return the daemon that owns a target and a few substitutes, by rank.
-  std::vector<Member> ranked(const Configuration &config,
-                             const TargetConfig &target) const;
+  std::vector<Member> membersByRank(const Configuration &config,
+                                    const TargetConfig &target) const;
   /// Announces the inner address with the port that the daemon listens on.
   void setListenPort(std::uint16_t port);
   std::shared_ptr<http::Channel> channel(const std::string &address);
--- a/src/daemon/owner.h
+++ b/src/daemon/owner.h
@@ -40,13 +40,13 @@
   std::size_t inFlight() const;
   /// Answers confirmations whose time limit has passed; called with each tick
   /// of the failover driver.
-  void giveUpLate() { Confirmations.expire(); }
+  void expireConfirmations() { Confirmations.expire(); }
 
   /// Drops requests that expired or whose caller has gone, rolls back idle
   /// transactions, and releases targets that this daemon no longer owns.
   /// Must be called every few hundred ms.
   /// \param owns whether this daemon is rank 0 for the target.
-  void tend(const std::function<bool(const TargetConfig &)> &owns);
+  void runMaintenance(const std::function<bool(const TargetConfig &)> &owns);
 
 private:
   struct Shard {
--- a/src/daemon/owner_maintenance.cpp
+++ b/src/daemon/owner_maintenance.cpp
@@ -66,7 +66,8 @@
   }
 }
 
-void Owner::tend(const std::function<bool(const TargetConfig &)> &owns) {
+void Owner::runMaintenance(
+    const std::function<bool(const TargetConfig &)> &owns) {
   for (auto &shard : Shards) {
     std::vector<std::pair<TargetName, Actions>> all;
     {
--- a/src/daemon/read_placer.cpp
+++ b/src/daemon/read_placer.cpp
@@ -14,9 +14,9 @@
   if (since > MaxStatusAge)
     return;
   it.Reachable = view.Reachable;
-  it.Leaving |= view.Last.Leaving;
-  it.Applied = view.Last.Applied;
-  it.Age = view.Last.Age;
+  it.Leaving |= view.LastStatus.Leaving;
+  it.Applied = view.LastStatus.Applied;
+  it.Age = view.LastStatus.Age;
 }
 
 } // namespace
@@ -67,7 +67,7 @@
     Candidate candidate;
     candidate.Name = it.Name;
     candidate.IsPrimary = it.Name == view.Primary;
-    candidate.Far = distanceTo(config, it);
+    candidate.TargetDistance = distanceTo(config, it);
     candidate.Leaving = isDrained(config, it.Name);
     auto known = view.Targets.find(it.Name);
     if (known != view.Targets.end())
@@ -108,7 +108,8 @@
   // again.
   const auto *target = findTarget(database, request.Target);
   if (target && answer.Code == AnswerCode::Ok)
-    it.Wait = std::max(took - wayOf(distanceTo(config, *target)), Duration{});
+    it.Wait =
+        std::max(took - roundTripTime(distanceTo(config, *target)), Duration{});
   auto &shard = shardOf(database.Name);
   std::lock_guard guard(shard.Lock);
   auto &reads = stateOf(shard, database.Name).Reads;
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -177,7 +177,7 @@
                         "target: no longer configured"));
     return;
   }
-  auto owners = Peers.ranked(*config, *target);
+  auto owners = Peers.membersByRank(*config, *target);
   if (owners.empty()) {
     handleAnswer(op, request,
                  notRun(request, AnswerCode::Unavailable,
@@ -215,7 +215,7 @@
     return;
   if (request.Mode == Access::Write && answer.Code == AnswerCode::Ok &&
       request.What == Verb::Statement)
-    Views.learnPrimary(request.Database, answer.At.InTerm, request.Target);
+    Views.updatePrimary(request.Database, answer.At.InTerm, request.Target);
   Placer.answered(*config, *database, request, answer, took);
 }
 
--- a/src/daemon/status.cpp
+++ b/src/daemon/status.cpp
@@ -29,7 +29,7 @@
 
 Json writeTarget(const StatusSource &source, const TargetConfig &target,
                  const GroupView &view) {
-  auto owners = source.Peers.ranked(*source.Config, target);
+  auto owners = source.Peers.membersByRank(*source.Config, target);
   Json out = {{"name", target.Name.Value},
               {"domain", target.Domain.Value},
               {"owner", owners.empty() ? "" : owners.front().Vm.Value},
@@ -39,21 +39,22 @@
     return out;
   const auto &seen = it->second;
   out["reachable"] = seen.Reachable;
-  out["primary"] = seen.Last.IsPrimary;
-  out["leaving"] = seen.Last.Leaving;
-  out["term"] = seen.Last.CurrentTerm;
-  out["last"] = writePosition(seen.Last.Last);
-  out["applied"] = writePosition(seen.Last.Applied);
+  out["primary"] = seen.LastStatus.IsPrimary;
+  out["leaving"] = seen.LastStatus.Leaving;
+  out["term"] = seen.LastStatus.CurrentTerm;
+  out["last"] = writePosition(seen.LastStatus.Last);
+  out["applied"] = writePosition(seen.LastStatus.Applied);
   out["seenMsAgo"] = std::chrono::duration_cast<std::chrono::milliseconds>(
                          source.Now - seen.SeenAt)
                          .count();
   auto primary = view.Targets.find(view.Primary);
-  bool comparable =
-      primary != view.Targets.end() &&
-      primary->second.Last.Last.InTerm == seen.Last.Applied.InTerm &&
-      primary->second.Last.Last >= seen.Last.Applied;
+  bool comparable = primary != view.Targets.end() &&
+                    primary->second.LastStatus.Last.InTerm ==
+                        seen.LastStatus.Applied.InTerm &&
+                    primary->second.LastStatus.Last >= seen.LastStatus.Applied;
   if (comparable)
-    out["lag"] = primary->second.Last.Last.Index - seen.Last.Applied.Index;
+    out["lag"] =
+        primary->second.LastStatus.Last.Index - seen.LastStatus.Applied.Index;
   return out;
 }
 
--- a/src/daemon/views.cpp
+++ b/src/daemon/views.cpp
@@ -18,8 +18,8 @@
   return it == shard.Groups.end() ? GroupView{} : it->second;
 }
 
-void GroupViews::learnPrimary(const DatabaseName &database, Term term,
-                              const TargetName &primary) {
+void GroupViews::updatePrimary(const DatabaseName &database, Term term,
+                               const TargetName &primary) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
   auto &group = shard.Groups[database];
@@ -42,8 +42,9 @@
   return it != shard.Groups.end() && it->second.WritesHeldUntil > now;
 }
 
-bool GroupViews::learnStatus(const DatabaseName &database,
-                             const TargetName &target, const TargetView &view) {
+bool GroupViews::updateStatus(const DatabaseName &database,
+                              const TargetName &target,
+                              const TargetView &view) {
   auto &shard = shardOf(database);
   std::lock_guard guard(shard.Lock);
   auto &group = shard.Groups[database];
@@ -53,11 +54,11 @@
     return false;
   it = view;
   bool isCurrentPrimary =
-      view.Last.IsPrimary && view.Last.CurrentTerm >= group.InTerm;
+      view.LastStatus.IsPrimary && view.LastStatus.CurrentTerm >= group.InTerm;
   if (!isCurrentPrimary)
     return false;
   bool changed = group.Primary != target;
-  group.InTerm = view.Last.CurrentTerm;
+  group.InTerm = view.LastStatus.CurrentTerm;
   group.Primary = target;
   return changed;
 }
--- a/src/daemon/views.h
+++ b/src/daemon/views.h
@@ -17,7 +17,7 @@
 
 struct TargetView {
   bool Reachable = false;
-  target::Status Last;
+  target::Status LastStatus;
   TimePoint SeenAt;
 };
 
@@ -33,14 +33,14 @@
 public:
   GroupView get(const DatabaseName &database) const;
   /// Applies another daemon's hint; ignored if its term is lower.
-  void learnPrimary(const DatabaseName &database, Term term,
-                    const TargetName &primary);
+  void updatePrimary(const DatabaseName &database, Term term,
+                     const TargetName &primary);
   /// Holds writes until \p until; a time in the past releases them.
   void holdWrites(const DatabaseName &database, TimePoint until);
   bool writesHeld(const DatabaseName &database, TimePoint now) const;
   /// Applies a probe's answer. \return whether it changed the primary.
-  bool learnStatus(const DatabaseName &database, const TargetName &target,
-                   const TargetView &view);
+  bool updateStatus(const DatabaseName &database, const TargetName &target,
+                    const TargetView &view);
 
 private:
   struct Shard {
--- a/src/failover/confirmation.cpp
+++ b/src/failover/confirmation.cpp
@@ -12,7 +12,7 @@
 
 void answer(const Waiters &waiters, bool safe, ConfirmActions &out) {
   for (const auto &it : waiters)
-    out.push_back(Confirmed{it.Ticket, safe});
+    out.push_back(ConfirmResult{it.Ticket, safe});
 }
 
 /// Removes and returns those for which the condition is true.
@@ -36,7 +36,7 @@
 /// All writes that have committed share one round, so that the number of calls
 /// to the replicas grows with the round trips and not with the writes.
 void beginRound(ConfirmState &state, TimePoint now, ConfirmActions &out) {
-  if (state.Next.empty() || state.Rounds.size() >= state.MostRounds)
+  if (state.Next.empty() || state.Rounds.size() >= state.MaxRounds)
     return;
   ConfirmRound it;
   it.Round = {++state.LastHandle};
@@ -55,7 +55,7 @@
          false, out);
   constexpr milliseconds MinWait{1};
   auto wait = std::chrono::ceil<milliseconds>(last - now);
-  out.push_back(AskReplicas{it.Round, it.At, std::max(wait, MinWait)});
+  out.push_back(QueryReplicas{it.Round, it.At, std::max(wait, MinWait)});
   state.Rounds.push_back(std::move(it));
 }
 
@@ -65,7 +65,7 @@
   if (it.FoundOnReplica.empty() || !it.AwaitingPrimary.empty())
     return;
   it.AwaitingPrimary = std::exchange(it.FoundOnReplica, {});
-  out.push_back(AskPrimary{it.Round});
+  out.push_back(QueryPrimary{it.Round});
 }
 
 /// Ends rounds that cannot confirm anything more.
@@ -87,7 +87,7 @@
 /// acknowledge a write that is on one target only. Positions compare by the
 /// term of the last record first; a record of this term was copied from its
 /// primary, and so was everything before it.
-bool holds(const TargetReport &replica, Position at) {
+bool isReplicated(const TargetReport &replica, Position at) {
   return replica.CurrentTerm == at.InTerm && replica.Last >= at;
 }
 
@@ -110,7 +110,7 @@
   if (it->PendingReplicas > 0)
     --it->PendingReplicas;
   auto held = extractIf(it->Waiters, [&](const ConfirmWaiter &n) {
-    return report && holds(*report, n.At);
+    return report && isReplicated(*report, n.At);
   });
   it->FoundOnReplica.insert(it->FoundOnReplica.end(), held.begin(), held.end());
   queryPrimary(*it, out);
--- a/src/failover/confirmation.h
+++ b/src/failover/confirmation.h
@@ -14,25 +14,25 @@
 /// Request to all replicas: answer as soon as the log contains the position and
 /// its last record is of the position's term, or with the current status after
 /// the wait. Each answer goes to onReplica.
-struct AskReplicas {
+struct QueryReplicas {
   RoundHandle Round;
   Position At;
   milliseconds Wait{};
-  auto operator<=>(const AskReplicas &) const = default;
+  auto operator<=>(const QueryReplicas &) const = default;
 };
 /// Requests the primary's status. The answer goes to onPrimary.
-struct AskPrimary {
+struct QueryPrimary {
   RoundHandle Round;
-  auto operator<=>(const AskPrimary &) const = default;
+  auto operator<=>(const QueryPrimary &) const = default;
 };
 /// Result of one confirmation.
-struct Confirmed {
+struct ConfirmResult {
   TicketHandle Ticket;
-  bool Safe = false;
-  auto operator<=>(const Confirmed &) const = default;
+  bool IsConfirmed = false;
+  auto operator<=>(const ConfirmResult &) const = default;
 };
 
-using ConfirmAction = std::variant<AskReplicas, AskPrimary, Confirmed>;
+using ConfirmAction = std::variant<QueryReplicas, QueryPrimary, ConfirmResult>;
 using ConfirmActions = std::vector<ConfirmAction>;
 
 struct ConfirmWaiter {
@@ -56,7 +56,7 @@
   /// Limits the calls to the replicas under many writes per second. A second
   /// concurrent round halves the wait of a write that just missed one; with
   /// more rounds, each would serve single writes again.
-  std::size_t MostRounds = 2;
+  std::size_t MaxRounds = 2;
   std::uint64_t LastHandle = 0;
   std::vector<ConfirmWaiter> Next; ///< Committed after the last round began.
   std::vector<ConfirmRound> Rounds;
@@ -64,7 +64,7 @@
 
 /// Starts the confirmation of a write that committed, or of a read that was
 /// served, at this position.
-/// \param ticket receives the handle that identifies its Confirmed.
+/// \param ticket receives the handle that identifies its ConfirmResult.
 ConfirmActions onCommitted(ConfirmState &state, Position at, TimePoint deadline,
                            TimePoint now, TicketHandle &ticket);
 /// \param report one replica's answer; empty if it gave none.
@@ -79,7 +79,7 @@
 
 /// Whether a replica with this report has the position's record, and all before
 /// it, from the primary of that term.
-bool holds(const TargetReport &replica, Position at);
+bool isReplicated(const TargetReport &replica, Position at);
 
 } // namespace peridotfall::failover
 
--- a/src/failover/detection.cpp
+++ b/src/failover/detection.cpp
@@ -59,8 +59,8 @@
          now - *it.Answered <= group.Limits.ProbeInterval * 5 / 2;
 }
 
-Sights sightsOf(const GroupState &group, TimePoint now) {
-  Sights out;
+TargetObservations observationsOf(const GroupState &group, TimePoint now) {
+  TargetObservations out;
   for (const auto &it : group.Targets) {
     auto &observation = out[it.Name];
     observation.Report = it.Report;
@@ -76,7 +76,7 @@
 /// old primary still answers as primary, but no write can ever be confirmed.
 /// Counting terms is sufficient: a primary whose term is below that of a
 /// majority gets no confirmation, so ignoring it cannot interrupt writes.
-TargetName leaderOf(const Sights &seen) {
+TargetName leaderOf(const TargetObservations &seen) {
   TargetName leader;
   Term best = 0;
   for (const auto &[name, it] : seen) {
@@ -160,7 +160,7 @@
   it->Report = report;
   it->Answered = now;
   it->Missed = 0;
-  if (leaderOf(sightsOf(group, now)) != target)
+  if (leaderOf(observationsOf(group, now)) != target)
     return;
   group.LeaderSeen = now;
   if (group.Primary == target && group.InTerm == report.CurrentTerm)
--- a/src/failover/group.cpp
+++ b/src/failover/group.cpp
@@ -61,7 +61,7 @@
   for (const auto &it : group.Targets)
     if (std::find(queried.begin(), queried.end(), it.Owner) == queried.end()) {
       queried.push_back(it.Owner);
-      out.push_back(AskPeer{it.Owner, group.Object.Version});
+      out.push_back(QueryPeer{it.Owner, group.Object.Version});
     }
 }
 
@@ -191,8 +191,8 @@
   return {};
 }
 
-Actions onPeerView(GroupState &group, const VmName &peer, Sights seen,
-                   TimePoint now) {
+Actions onPeerView(GroupState &group, const VmName &peer,
+                   TargetObservations seen, TimePoint now) {
   group.Peers[peer] = {std::move(seen), now};
   Actions out;
   beginCampaignIfDue(group, now, out);
--- a/src/http/answer_progress.cpp
+++ b/src/http/answer_progress.cpp
@@ -4,11 +4,11 @@
 
 namespace peridotfall::http {
 
-AnswerLimits wholeWithin(std::chrono::milliseconds limit) {
+AnswerLimits totalTimeout(std::chrono::milliseconds limit) {
   return {limit, {}};
 }
 
-AnswerLimits beginsWithin(std::chrono::milliseconds limit) {
+AnswerLimits firstByteTimeout(std::chrono::milliseconds limit) {
   return {limit, limits::AnswerStall};
 }
 
@@ -21,7 +21,7 @@
 SteadyTime AnswerProgress::deadline() const {
   bool limitsWhole = Limits.Stall.count() == 0;
   if (!FirstByteTime || limitsWhole)
-    return StartTime + Limits.Begin;
+    return StartTime + Limits.FirstByte;
   return LastByteTime + Limits.Stall;
 }
 
--- a/src/http/answer_progress.h
+++ b/src/http/answer_progress.h
@@ -15,10 +15,10 @@
 
 /// \return limits that time out a call unless its whole answer arrives within
 /// \p limit.
-AnswerLimits wholeWithin(std::chrono::milliseconds limit);
+AnswerLimits totalTimeout(std::chrono::milliseconds limit);
 /// \return limits for an answer that begins within \p limit and then never
 /// stalls for longer than limits::AnswerStall.
-AnswerLimits beginsWithin(std::chrono::milliseconds limit);
+AnswerLimits firstByteTimeout(std::chrono::milliseconds limit);
 
 /// Tracks when bytes of an answer arrive. The time is passed in.
 class AnswerProgress {
--- a/src/http/channel.cpp
+++ b/src/http/channel.cpp
@@ -81,7 +81,7 @@
 
 void Channel::call(Request request, std::chrono::milliseconds limit,
                    OnResult done) {
-  call(std::move(request), wholeWithin(limit), std::move(done));
+  call(std::move(request), totalTimeout(limit), std::move(done));
 }
 
 void Channel::call(Request request, const AnswerLimits &limits, OnResult done) {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -37,13 +37,13 @@
   std::string Peer; ///< The peer's IP address.
   /// Set when the request's stream or connection closes. Work that has not
   /// started by then is dropped.
-  std::shared_ptr<std::atomic<bool>> Gone;
+  std::shared_ptr<std::atomic<bool>> Cancelled;
 };
 
 /// Size and duration of a received answer.
 struct Transfer {
-  std::size_t Bytes = 0;           ///< Of the body, so far.
-  std::chrono::nanoseconds Took{}; ///< Since its first byte.
+  std::size_t Bytes = 0;              ///< Of the body, so far.
+  std::chrono::nanoseconds Elapsed{}; ///< Since its first byte.
 
   auto operator<=>(const Transfer &) const = default;
 };
@@ -51,7 +51,7 @@
 /// Timeouts of an answer. A large answer that is still arriving must not time
 /// out: a retry would transfer all of it again and saturate the link.
 struct AnswerLimits {
-  std::chrono::milliseconds Begin{}; ///< Until the answer's first byte.
+  std::chrono::milliseconds FirstByte{}; ///< Until the answer's first byte.
   /// Longest gap between bytes. Zero: the limit above is that of the whole
   /// answer.
   std::chrono::milliseconds Stall{};
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -86,7 +86,7 @@
   auto &it = conn.Exchanges[frame->hd.stream_id];
   it.In.Connection = conn.Handle;
   it.In.Peer = conn.Peer;
-  it.In.Gone = std::make_shared<std::atomic<bool>>(false);
+  it.In.Cancelled = std::make_shared<std::atomic<bool>>(false);
   it.LastReceived = std::chrono::steady_clock::now();
   conn.startSenderTimer();
   return 0;
@@ -136,7 +136,7 @@
   auto it = conn.Exchanges.find(stream);
   if (it == conn.Exchanges.end())
     return 0;
-  it->second.In.Gone->store(true);
+  it->second.In.Cancelled->store(true);
   conn.Exchanges.erase(it);
   return 0;
 }
@@ -191,7 +191,7 @@
                    });
   };
   auto request = std::move(it.In);
-  it.In.Gone = request.Gone;
+  it.In.Cancelled = request.Cancelled;
   Owner->OnRequest(std::move(request), std::move(respond));
 }
 
@@ -269,7 +269,7 @@
 void ServerConnection::closed() {
   SenderTimer.cancel();
   for (auto &[stream, it] : Exchanges)
-    it.In.Gone->store(true);
+    it.In.Cancelled->store(true);
   Owner->removeConnection(Handle);
   if (Owner->Options.OnClosed)
     Owner->Options.OnClosed(Handle);
--- a/src/http/status.h
+++ b/src/http/status.h
@@ -7,7 +7,7 @@
 namespace peridotfall::http {
 
 inline constexpr int StatusOk = 200;
-inline constexpr int StatusBad = 400;
+inline constexpr int StatusBadRequest = 400;
 inline constexpr int StatusNotFound = 404;
 inline constexpr int StatusConflict = 409;
 inline constexpr int StatusGone = 410;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -31,11 +31,11 @@
 Membership::Membership(Member self, MembershipOptions options,
                        std::uint64_t seed)
     : Options(options), Random(seed), Self(self.Vm) {
-  Entries[Self].Record.It = std::move(self);
+  Entries[Self].Record.Info = std::move(self);
 }
 
 bool Membership::isSuspect(const MemberRecord &it) const {
-  return it.It.Vm != Self &&
+  return it.Info.Vm != Self &&
          (it.Suspecting.count(Self) != 0 ||
           it.Suspecting.size() >= Options.ReportersToSuspect);
 }
@@ -56,7 +56,7 @@
 }
 
 Member Membership::effective(const Entry &it) {
-  auto member = it.Record.It;
+  auto member = it.Record.Info;
   member.Leaving |= it.ListLeaving;
   return member;
 }
@@ -65,7 +65,7 @@
                               TimePoint now) {
   auto before = effective(entry);
   entry.ListLeaving = listed.Leaving;
-  auto &known = entry.Record.It;
+  auto &known = entry.Record.Info;
   if (known.Vm != Self) {
     // A changed address in the list means that the VM was replaced. Otherwise
     // the daemon's own report is newer than the list.
@@ -82,15 +82,15 @@
     markChanged(entry, now);
 }
 
-void Membership::takeList(const std::vector<Member> &list, TimePoint now) {
+void Membership::updateList(const std::vector<Member> &list, TimePoint now) {
   std::set<VmName> listed{Self};
   for (const auto &it : list) {
     listed.insert(it.Vm);
     auto *entry = find(it.Vm);
     if (!entry) {
       entry = &Entries[it.Vm];
-      entry->Record.It = it;
-      entry->Record.It.Leaving = false;
+      entry->Record.Info = it;
+      entry->Record.Info.Leaving = false;
       entry->FirstSeen = now;
       markChanged(*entry, now);
     }
@@ -110,7 +110,7 @@
     return Neighbours;
   NeighboursGeneration = Generation;
   Neighbours.clear();
-  auto domain = Entries[Self].Record.It.Domain;
+  auto domain = Entries[Self].Record.Info.Domain;
   std::vector<std::pair<std::uint64_t, VmName>> all;
   std::vector<std::pair<std::uint64_t, VmName>> own;
   for (const auto &[vm, it] : Entries) {
@@ -118,10 +118,10 @@
     // Otherwise their prober would keep probing them, and nobody would probe
     // the next live member.
     bool skip = isSuspect(it.Record) && Entries.size() > Options.SmallFleet;
-    if (it.Record.It.ServesTarget || skip)
+    if (it.Record.Info.ServesTarget || skip)
       continue;
     all.emplace_back(stableHash(vm.Value, "ring"), vm);
-    if (it.Record.It.Domain == domain)
+    if (it.Record.Info.Domain == domain)
       own.push_back(all.back());
   }
   auto rest =
@@ -134,11 +134,11 @@
 std::vector<Member> Membership::probesDue(TimePoint now) {
   std::vector<Member> due;
   auto add = [&](Entry &it) {
-    if (it.InFlight || it.Record.It.ServesTarget)
+    if (it.InFlight || it.Record.Info.ServesTarget)
       return;
     it.InFlight = true;
     it.NextProbe = now + Options.ProbePeriod;
-    due.push_back(it.Record.It);
+    due.push_back(it.Record.Info);
   };
   for (const auto &vm : neighbours()) {
     auto *it = find(vm);
@@ -158,45 +158,45 @@
   return due;
 }
 
-void Membership::takeAnswer(const Member &asked, const MemberRecord &answered,
-                            TimePoint now) {
+void Membership::handleAnswer(const Member &asked, const MemberRecord &answered,
+                              TimePoint now) {
   // If a VM was replaced, another daemon may listen on its address. Without
   // this check the probed member would count as alive, and work for it would go
   // to a daemon that holds none of its connections. The name and incarnation in
   // the answer distinguish the two.
-  if (answered.It.Vm != asked.Vm) {
-    takeMiss(asked, now);
-    takeContact(answered, now);
+  if (answered.Info.Vm != asked.Vm) {
+    handleMiss(asked, now);
+    handleContact(answered, now);
     return;
   }
   if (auto *it = find(asked.Vm))
     it->InFlight = false;
-  takeContact(answered, now);
+  handleContact(answered, now);
 }
 
-void Membership::takeContact(const MemberRecord &from, TimePoint now) {
-  if (from.It.Vm == Self)
+void Membership::handleContact(const MemberRecord &from, TimePoint now) {
+  if (from.Info.Vm == Self)
     return;
-  auto *it = find(from.It.Vm);
+  auto *it = find(from.Info.Vm);
   // Ignore a late answer of a previous incarnation.
-  if (it && from.It.Incarnation < it->Record.It.Incarnation)
+  if (it && from.Info.Incarnation < it->Record.Info.Incarnation)
     return;
   auto reported = from;
   reported.Suspecting.clear();
   merge(reported, now);
-  it = find(from.It.Vm);
+  it = find(from.Info.Vm);
   it->Misses = 0;
   if (it->Record.Suspecting.erase(Self) != 0)
     markChanged(*it, now);
 }
 
-void Membership::takeMiss(const Member &asked, TimePoint now) {
+void Membership::handleMiss(const Member &asked, TimePoint now) {
   auto *it = find(asked.Vm);
   if (!it)
     return;
   it->InFlight = false;
   it->NextProbe = now + Options.RetryPause;
-  if (it->Record.It.Incarnation != asked.Incarnation)
+  if (it->Record.Info.Incarnation != asked.Incarnation)
     return;
   if (++it->Misses < Options.MissesToSuspect)
     return;
@@ -204,12 +204,12 @@
     recordObserved(*it, now);
 }
 
-void Membership::takeNews(const std::vector<MemberRecord> &records,
-                          TimePoint now) {
+void Membership::handleGossip(const std::vector<MemberRecord> &records,
+                              TimePoint now) {
   for (const auto &it : records) {
-    if (it.It.Vm != Self)
+    if (it.Info.Vm != Self)
       merge(it, now);
-    else if (it.It.Incarnation == Entries[Self].Record.It.Incarnation &&
+    else if (it.Info.Incarnation == Entries[Self].Record.Info.Incarnation &&
              !it.Suspecting.empty())
       refute(it.Version, now);
   }
@@ -224,20 +224,20 @@
 }
 
 void Membership::merge(const MemberRecord &record, TimePoint now) {
-  auto &entry = Entries[record.It.Vm];
+  auto &entry = Entries[record.Info.Vm];
   auto &known = entry.Record;
-  auto address = known.It.InnerAddress;
-  bool isNew = known.It.Vm.empty();
-  auto rank = std::pair(known.It.Incarnation, known.Version);
-  auto next = std::pair(record.It.Incarnation, record.Version);
+  auto address = known.Info.InnerAddress;
+  bool isNew = known.Info.Vm.empty();
+  auto rank = std::pair(known.Info.Incarnation, known.Version);
+  auto next = std::pair(record.Info.Incarnation, record.Version);
   if (isNew || next > rank) {
     if (isNew)
       entry.FirstSeen = now;
-    if (known.It.Incarnation != record.It.Incarnation)
+    if (known.Info.Incarnation != record.Info.Incarnation)
       entry.Misses = 0;
     known = record;
-    if (known.It.InnerAddress.empty())
-      known.It.InnerAddress = address;
+    if (known.Info.InnerAddress.empty())
+      known.Info.InnerAddress = address;
     // Only this daemon's own probes decide whether it suspects the member.
     known.Suspecting.erase(Self);
     markChanged(entry, now);
@@ -249,35 +249,35 @@
   for (const auto &it : record.Suspecting)
     if (it != Self)
       known.Suspecting.insert(it);
-  known.It.Leaving |= record.It.Leaving;
+  known.Info.Leaving |= record.Info.Leaving;
   if (known != before)
     markChanged(entry, now);
 }
 
 void Membership::leave(TimePoint now) {
   auto &own = Entries[Self];
-  if (own.Record.It.Leaving)
+  if (own.Record.Info.Leaving)
     return;
-  own.Record.It.Leaving = true;
+  own.Record.Info.Leaving = true;
   ++own.Record.Version;
   recordObserved(own, now);
 }
 
 void Membership::raiseIncarnation(std::uint64_t incarnation) {
-  auto &own = Entries[Self].Record.It;
+  auto &own = Entries[Self].Record.Info;
   own.Incarnation = std::max(own.Incarnation, incarnation);
   ++Generation;
 }
 
 void Membership::setOwnAddress(std::string address) {
-  Entries[Self].Record.It.InnerAddress = std::move(address);
+  Entries[Self].Record.Info.InnerAddress = std::move(address);
   ++Generation;
 }
 
 std::vector<Member> Membership::live() const {
   std::vector<Member> out;
   for (const auto &[vm, it] : Entries)
-    if (!it.Record.It.ServesTarget && !isSuspect(it.Record))
+    if (!it.Record.Info.ServesTarget && !isSuspect(it.Record))
       out.push_back(effective(it));
   return out;
 }
@@ -302,11 +302,12 @@
   return it != Entries.end() && isSuspect(it->second.Record);
 }
 
-std::vector<MemberRecord> Membership::recent(TimePoint now,
-                                             std::size_t maxRecords) const {
+std::vector<MemberRecord>
+Membership::recentChanges(TimePoint now, std::size_t maxRecords) const {
   std::vector<const Entry *> found;
   for (const auto &[vm, it] : Entries)
-    if (it.Record.It.Incarnation != 0 && now - it.ChangedAt < Options.GossipAge)
+    if (it.Record.Info.Incarnation != 0 &&
+        now - it.ChangedAt < Options.GossipAge)
       found.push_back(&it);
   std::sort(found.begin(), found.end(), [](const Entry *a, const Entry *b) {
     return std::tie(b->ChangedAt, a->Record) <
@@ -318,7 +319,7 @@
   return out;
 }
 
-std::vector<MemberRecord> Membership::about(const VmName &vm) const {
+std::vector<MemberRecord> Membership::recordsAbout(const VmName &vm) const {
   auto it = Entries.find(vm);
   if (it == Entries.end() || it->second.Record.Suspecting.empty())
     return {};
--- a/src/membership/vm_list.cpp
+++ b/src/membership/vm_list.cpp
@@ -41,7 +41,7 @@
   At = stamp;
 }
 
-bool VmListInForce::offerPolled(std::vector<Member> list, Stamp wall) {
+bool VmListInForce::updatePolled(std::vector<Member> list, Stamp wall) {
   std::sort(list.begin(), list.end());
   auto digest = digestOf(list);
   if (digest == Digest)
@@ -58,12 +58,13 @@
   return true;
 }
 
-bool VmListInForce::wants(Stamp stamp, std::uint64_t digest, Stamp wall) const {
+bool VmListInForce::shouldFetch(Stamp stamp, std::uint64_t digest,
+                                Stamp wall) const {
   return digest != Digest && std::min(stamp, wall + MaxClockAheadMs) > At;
 }
 
-bool VmListInForce::offerRelayed(std::vector<Member> list, Stamp stamp,
-                                 Stamp wall) {
+bool VmListInForce::updateRelayed(std::vector<Member> list, Stamp stamp,
+                                  Stamp wall) {
   std::sort(list.begin(), list.end());
   auto digest = digestOf(list);
   auto bounded = std::min(stamp, wall + MaxClockAheadMs);
@@ -71,7 +72,7 @@
     At = std::max(At, bounded);
     return false;
   }
-  if (!wants(stamp, digest, wall))
+  if (!shouldFetch(stamp, digest, wall))
     return false;
   replace(std::move(list), digest, bounded, wall);
   return true;
--- a/src/membership/vm_list.h
+++ b/src/membership/vm_list.h
@@ -20,12 +20,12 @@
 class VmListInForce {
 public:
   /// Applies a list read from the platform. \return whether the list changed.
-  bool offerPolled(std::vector<Member> list, Stamp wall);
+  bool updatePolled(std::vector<Member> list, Stamp wall);
   /// Applies a list relayed by another daemon. \return whether it changed.
-  bool offerRelayed(std::vector<Member> list, Stamp stamp, Stamp wall);
+  bool updateRelayed(std::vector<Member> list, Stamp stamp, Stamp wall);
   /// \return whether another daemon's list differs and is newer, so that it
   /// should be fetched.
-  bool wants(Stamp stamp, std::uint64_t digest, Stamp wall) const;
+  bool shouldFetch(Stamp stamp, std::uint64_t digest, Stamp wall) const;
 
   Stamp stamp() const { return At; }
   std::uint64_t digest() const { return Digest; }
--- a/src/messages/news.cpp
+++ b/src/messages/gossip.cpp
@@ -33,7 +33,7 @@
 }
 
 void toProto(inner::MemberState *out, const MemberRecord &it) {
-  toProto(out->mutable_member(), it.It);
+  toProto(out->mutable_member(), it.Info);
   out->set_version(it.Version);
   for (const auto &vm : it.Suspecting)
     out->add_suspecting(vm.Value);
@@ -41,7 +41,7 @@
 
 MemberRecord fromProto(const inner::MemberState &in) {
   MemberRecord it;
-  it.It = fromProto(in.member());
+  it.Info = fromProto(in.member());
   it.Version = in.version();
   for (const auto &vm : in.suspecting())
     it.Suspecting.insert(VmName(vm));
@@ -64,7 +64,7 @@
   return PeerInfo{fromProto(in), in.revision()};
 }
 
-std::string encode(const News &it) {
+std::string encode(const GossipMessage &it) {
   inner::News out;
   toProto(out.mutable_from(), it.From);
   out.set_revision(it.Revision);
@@ -73,17 +73,17 @@
   for (const auto &record : it.Members)
     toProto(out.add_members(), record);
   out.set_tree_id(it.TreeId);
-  out.set_tree_root(it.Along.Root.Value);
-  out.set_domain_only(it.Along.DomainOnly);
-  out.set_holder(it.Holder);
+  out.set_tree_root(it.ForwardTree.Root.Value);
+  out.set_domain_only(it.ForwardTree.DomainOnly);
+  out.set_holder(it.FetchAddress);
   return out.SerializeAsString();
 }
 
-Result<News> decodeNews(const std::string &bytes) {
+Result<GossipMessage> decodeGossip(const std::string &bytes) {
   inner::News in;
   if (!in.ParseFromString(bytes) || in.from().member().vm().empty())
     return malformed();
-  News it;
+  GossipMessage it;
   it.From = fromProto(in.from());
   it.Revision = in.revision();
   it.ListStamp = in.list_stamp();
@@ -92,8 +92,8 @@
     if (!record.member().vm().empty())
       it.Members.push_back(fromProto(record));
   it.TreeId = in.tree_id();
-  it.Along = {VmName(in.tree_root()), in.domain_only()};
-  it.Holder = in.holder();
+  it.ForwardTree = {VmName(in.tree_root()), in.domain_only()};
+  it.FetchAddress = in.holder();
   return it;
 }
 
--- a/src/messages/group_view.cpp
+++ b/src/messages/group_view.cpp
@@ -31,7 +31,7 @@
   inner::GroupViewAnswer out;
   out.set_database(it.Database.Value);
   out.set_vm(it.Vm.Value);
-  for (const auto &[name, observation] : it.Seen) {
+  for (const auto &[name, observation] : it.Observations) {
     auto *target = out.add_targets();
     target->set_target(name.Value);
     target->set_reachable(observation.Reachable);
@@ -65,7 +65,7 @@
   it.Database = DatabaseName(in.database());
   it.Vm = VmName(in.vm());
   for (const auto &target : in.targets()) {
-    auto &observation = it.Seen[TargetName(target.target())];
+    auto &observation = it.Observations[TargetName(target.target())];
     observation.Reachable = target.reachable();
     observation.Report.IsPrimary = target.primary();
     observation.Report.CurrentTerm = target.term();
--- a/src/messages/group_view.h
+++ b/src/messages/group_view.h
@@ -19,7 +19,7 @@
 struct GroupViewAnswer {
   DatabaseName Database;
   VmName Vm; ///< The daemon with this view.
-  failover::Sights Seen;
+  failover::TargetObservations Observations;
   std::optional<failover::VersionedObject> Object; ///< If newer.
 
   auto operator<=>(const GroupViewAnswer &) const = default;
--- a/src/messages/inner.h
+++ b/src/messages/inner.h
@@ -21,7 +21,7 @@
 inline constexpr auto StatementPath = "/inner/v1/statement";
 inline constexpr auto PeerPath = "/inner/v1/peer";
 inline constexpr auto ConfigurationPath = "/inner/v1/configuration";
-inline constexpr auto NewsPath = "/inner/v1/news";
+inline constexpr auto GossipPath = "/inner/v1/news";
 inline constexpr auto MembersPath = "/inner/v1/members";
 inline constexpr auto GroupViewPath = "/inner/v1/group-view";
 
@@ -45,21 +45,21 @@
 
 /// A membership update: a probe, a comparison or an announcement. The answer
 /// has the same type.
-struct News {
+struct GossipMessage {
   MemberRecord From;
   std::uint64_t Revision = 0; ///< Of the configuration; 0: none in force.
   std::uint64_t ListStamp = 0;
   std::uint64_t ListDigest = 0;
   std::vector<MemberRecord> Members;
   std::uint64_t TreeId = 0; ///< 0: not relayed.
-  RelayTree Along;
-  std::string Holder; ///< Address to fetch from; empty: the sender's.
+  RelayTree ForwardTree;
+  std::string FetchAddress; ///< Address to fetch from; empty: the sender's.
 
-  auto operator<=>(const News &) const = default;
+  auto operator<=>(const GossipMessage &) const = default;
 };
 
-std::string encode(const News &it);
-Result<News> decodeNews(const std::string &bytes);
+std::string encode(const GossipMessage &it);
+Result<GossipMessage> decodeGossip(const std::string &bytes);
 
 /// The list of VMs in force at a daemon.
 struct VmList {
--- a/src/messages/lease.cpp
+++ b/src/messages/lease.cpp
@@ -28,12 +28,12 @@
   return {it.term(), it.index()};
 }
 
-void toProto(lease::PreparedBody *out, const proxy::Prepared &it) {
+void toProto(lease::PreparedBody *out, const proxy::PreparedStatement &it) {
   out->set_writes(it.Writes);
   out->set_shape(it.Shape);
 }
 
-proxy::Prepared fromProto(const lease::PreparedBody &it) {
+proxy::PreparedStatement fromProto(const lease::PreparedBody &it) {
   return {it.writes(), it.shape()};
 }
 
@@ -65,24 +65,24 @@
     next->set_name(name);
     next->set_value(value);
   }
-  for (const auto &body : it.Needs)
+  for (const auto &body : it.RequiredPrepared)
     toProto(out->add_needs(), body);
   for (const auto &statement : it.Statements)
     toProto(out->add_statements(), statement);
   out->set_ends_lease(it.EndsLease);
-  out->set_patience_us(toMicros(it.Patience));
+  out->set_patience_us(toMicros(it.Timeout));
 }
 
 bool fromProto(const lease::Batch &in, proxy::Batch &out) {
   for (const auto &value : in.session())
     out.Session[value.name()] = value.value();
   for (const auto &body : in.needs())
-    out.Needs.push_back(fromProto(body));
+    out.RequiredPrepared.push_back(fromProto(body));
   for (const auto &statement : in.statements())
     if (!fromProto(statement, out.Statements.emplace_back()))
       return false;
   out.EndsLease = in.ends_lease();
-  out.Patience = fromMicros(in.patience_us());
+  out.Timeout = fromMicros(in.patience_us());
   return !out.Statements.empty();
 }
 
@@ -190,8 +190,8 @@
   out.set_end(static_cast<std::uint32_t>(it.Result.End));
   for (const auto &answer : it.Result.Answers)
     toProto(out.add_answers(), answer);
-  toProto(out.mutable_why(), it.Result.Why);
-  out.set_lease(it.Result.Kept ? it.Lease.Value : 0);
+  toProto(out.mutable_why(), it.Result.Error);
+  out.set_lease(it.Result.LeaseKept ? it.Lease.Value : 0);
   out.set_target_unreachable(it.Result.TargetUnreachable);
   out.set_queue_full(it.Result.QueueFull);
   return out.SerializeAsString();
@@ -202,43 +202,43 @@
   LeaseAnswer out;
   bool fits = in.ParseFromString(bytes) &&
               parseEnum(in.end(), proxy::BatchEnd::Lost, out.Result.End) &&
-              fromProto(in.why(), out.Result.Why);
+              fromProto(in.why(), out.Result.Error);
   for (const auto &answer : in.answers())
     fits = fits && fromProto(answer, out.Result.Answers.emplace_back());
   if (!fits)
     return malformed();
   out.Lease = {in.lease()};
-  out.Result.Kept = out.Lease.valid();
+  out.Result.LeaseKept = out.Lease.valid();
   out.Result.TargetUnreachable = in.target_unreachable();
   out.Result.QueueFull = in.queue_full();
   return out;
 }
 
-std::string encode(const LeadQuestion &it) {
+std::string encode(const LeaderQuery &it) {
   lease::LeadQuestion out;
   out.set_group(it.Group.Value);
   return out.SerializeAsString();
 }
 
-Result<LeadQuestion> decodeLeadQuestion(const std::string &bytes) {
+Result<LeaderQuery> decodeLeaderQuery(const std::string &bytes) {
   lease::LeadQuestion in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  return LeadQuestion{proxy::GroupName(in.group())};
+  return LeaderQuery{proxy::GroupName(in.group())};
 }
 
-std::string encode(const LeadView &it) {
+std::string encode(const LeaderView &it) {
   lease::LeadView out;
-  out.set_known(it.Known);
-  out.set_reaches(it.Reaches);
+  out.set_known(it.GroupKnown);
+  out.set_reaches(it.PrimaryReachable);
   return out.SerializeAsString();
 }
 
-Result<LeadView> decodeLeadView(const std::string &bytes) {
+Result<LeaderView> decodeLeaderView(const std::string &bytes) {
   lease::LeadView in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  return LeadView{in.known(), in.reaches()};
+  return LeaderView{in.known(), in.reaches()};
 }
 
 } // namespace peridotfall::messages
--- a/src/messages/lease.h
+++ b/src/messages/lease.h
@@ -16,7 +16,7 @@
 inline constexpr auto BeginLeasePath = "/inner/v1/lease/begin";
 inline constexpr auto RunLeasePath = "/inner/v1/lease/run";
 inline constexpr auto AbandonLeasePath = "/inner/v1/lease/abandon";
-inline constexpr auto LeadViewPath = "/inner/v1/lead-view";
+inline constexpr auto LeaderViewPath = "/inner/v1/lead-view";
 
 struct BeginLease {
   proxy::LeaseRequest Request;
@@ -46,34 +46,34 @@
   auto operator<=>(const LeaseAnswer &) const = default;
 };
 
-struct LeadQuestion {
+struct LeaderQuery {
   proxy::GroupName Group;
 
-  auto operator<=>(const LeadQuestion &) const = default;
+  auto operator<=>(const LeaderQuery &) const = default;
 };
 
 /// A daemon's report on whether it reaches a group's primary.
-struct LeadView {
-  bool Known = false;   ///< The daemon knows the group.
-  bool Reaches = false; ///< The primary answered it recently.
+struct LeaderView {
+  bool GroupKnown = false;       ///< The daemon knows the group.
+  bool PrimaryReachable = false; ///< The primary answered it recently.
 
-  auto operator<=>(const LeadView &) const = default;
+  auto operator<=>(const LeaderView &) const = default;
 };
 
 std::string encode(const BeginLease &it);
 std::string encode(const RunLease &it);
 std::string encode(const AbandonLease &it);
 std::string encode(const LeaseAnswer &it);
-std::string encode(const LeadQuestion &it);
-std::string encode(const LeadView &it);
+std::string encode(const LeaderQuery &it);
+std::string encode(const LeaderView &it);
 
 /// \return Invalid if the message is malformed or an enum value is unknown.
 Result<BeginLease> decodeBeginLease(const std::string &bytes);
 Result<RunLease> decodeRunLease(const std::string &bytes);
 Result<AbandonLease> decodeAbandonLease(const std::string &bytes);
 Result<LeaseAnswer> decodeLeaseAnswer(const std::string &bytes);
-Result<LeadQuestion> decodeLeadQuestion(const std::string &bytes);
-Result<LeadView> decodeLeadView(const std::string &bytes);
+Result<LeaderQuery> decodeLeaderQuery(const std::string &bytes);
+Result<LeaderView> decodeLeaderView(const std::string &bytes);
 
 } // namespace peridotfall::messages
 
--- a/src/messages/copy.cpp
+++ b/src/messages/snapshot.cpp
@@ -1,4 +1,4 @@
-#include "messages/copy.h"
+#include "messages/snapshot.h"
 
 #include "messages/compression.h"
 #include "messages/copy.pb.h"
@@ -21,7 +21,7 @@
   auto packed = pack ? pack(it) : std::nullopt;
   if (packed) {
     out.set_packed(std::move(packed->Frame));
-    out.set_packed_against(packed->Against);
+    out.set_packed_against(packed->BaseRevision);
   } else
     out.set_spec(it.Spec);
   out.set_revision(it.Revision);
@@ -29,7 +29,7 @@
 }
 
 Result<std::string> readSpec(const copy::StoredObject &in,
-                             const FindHeld &findCached) {
+                             const FindCachedSpec &findCached) {
   if (in.packed().empty())
     return in.spec();
   if (in.packed_against() == 0)
@@ -43,7 +43,7 @@
 }
 
 Result<proxy::StoredObject> fromProto(const copy::StoredObject &in,
-                                      const FindHeld &findCached) {
+                                      const FindCachedSpec &findCached) {
   auto spec = readSpec(in, findCached);
   if (!spec)
     return spec.error();
@@ -52,7 +52,7 @@
 }
 
 template <class Request>
-void writeCached(const std::vector<HeldObject> &cached, Request &out) {
+void writeCached(const std::vector<CachedObjectId> &cached, Request &out) {
   for (const auto &it : cached) {
     auto *object = out.add_held();
     object->set_name(it.Name);
@@ -60,8 +60,9 @@
   }
 }
 
-template <class Request> std::vector<HeldObject> readCached(const Request &in) {
-  std::vector<HeldObject> out;
+template <class Request>
+std::vector<CachedObjectId> readCached(const Request &in) {
+  std::vector<CachedObjectId> out;
   for (const auto &it : in.held())
     out.push_back({it.name(), it.revision()});
   return out;
@@ -69,24 +70,24 @@
 
 } // namespace
 
-std::string encode(const CopyRequest &it) {
+std::string encode(const SnapshotRequest &it) {
   copy::CopyRequest out;
   out.set_kind(it.Kind);
   out.set_newer_than(it.NewerThan);
-  writeCached(it.Held, out);
-  out.set_takes_packed(it.TakesPacked);
+  writeCached(it.Cached, out);
+  out.set_takes_packed(it.AcceptsPacked);
   return out.SerializeAsString();
 }
 
-Result<CopyRequest> decodeCopyRequest(const std::string &bytes) {
+Result<SnapshotRequest> decodeSnapshotRequest(const std::string &bytes) {
   copy::CopyRequest in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  return CopyRequest{in.kind(), in.newer_than(), readCached(in),
-                     in.takes_packed()};
+  return SnapshotRequest{in.kind(), in.newer_than(), readCached(in),
+                         in.takes_packed()};
 }
 
-std::string encode(const CopyAnswer &it, const PackSpec &pack) {
+std::string encode(const SnapshotAnswer &it, const PackSpec &pack) {
   copy::CopyAnswer out;
   out.set_revision(it.Revision);
   for (const auto &[name, object] : it.Objects)
@@ -94,12 +95,12 @@
   return out.SerializeAsString();
 }
 
-Result<CopyAnswer> decodeCopyAnswer(const std::string &bytes,
-                                    const FindHeld &findCached) {
+Result<SnapshotAnswer> decodeSnapshotAnswer(const std::string &bytes,
+                                            const FindCachedSpec &findCached) {
   copy::CopyAnswer in;
   if (!in.ParseFromString(bytes))
     return malformed();
-  CopyAnswer out;
+  SnapshotAnswer out;
   out.Revision = in.revision();
   for (const auto &it : in.objects()) {
     auto object = fromProto(it, findCached);
@@ -115,8 +116,8 @@
   out.set_kind(it.Kind);
   out.set_newer_than(it.NewerThan);
   out.set_wait_us(toMicros(it.Wait));
-  writeCached(it.Held, out);
-  out.set_takes_packed(it.TakesPacked);
+  writeCached(it.Cached, out);
+  out.set_takes_packed(it.AcceptsPacked);
   return out.SerializeAsString();
 }
 
@@ -139,7 +140,7 @@
 }
 
 Result<WatchAnswer> decodeWatchAnswer(const std::string &bytes,
-                                      const FindHeld &findCached) {
+                                      const FindCachedSpec &findCached) {
   copy::WatchAnswer in;
   constexpr auto MaxOutcome =
       static_cast<std::uint32_t>(proxy::ReadOutcome::Unavailable);
--- a/src/messages/copy.h
+++ b/src/messages/snapshot.h
@@ -2,11 +2,11 @@
 /// Messages of the inner protocol: snapshots and changes of the platform's
 /// stored objects, sent between daemons.
 
-#ifndef PERIDOTFALL_MESSAGES_COPY_H
-#define PERIDOTFALL_MESSAGES_COPY_H
+#ifndef PERIDOTFALL_MESSAGES_SNAPSHOT_H
+#define PERIDOTFALL_MESSAGES_SNAPSHOT_H
 
 #include "peridotfall/result.h"
-#include "proxy/mirror.h"
+#include "proxy/object_cache.h"
 
 #include <functional>
 #include <optional>
@@ -15,20 +15,20 @@
 
 namespace peridotfall::messages {
 
-inline constexpr auto CopyPath = "/inner/v1/copy";
+inline constexpr auto SnapshotPath = "/inner/v1/copy";
 
 /// A large object in the requester's cache, usable as base for a delta.
-struct HeldObject {
+struct CachedObjectId {
   std::string Name;
   std::uint64_t Revision = 0;
 
-  auto operator<=>(const HeldObject &) const = default;
+  auto operator<=>(const CachedObjectId &) const = default;
 };
 
 /// The compressed spec of an object.
 struct PackedSpec {
   std::string Frame;
-  std::uint64_t Against = 0; ///< Revision used as base; 0: none.
+  std::uint64_t BaseRevision = 0; ///< Revision used as base; 0: none.
 
   auto operator<=>(const PackedSpec &) const = default;
 };
@@ -37,22 +37,23 @@
 using PackSpec =
     std::function<std::optional<PackedSpec>(const proxy::StoredObject &)>;
 /// \return the cached spec of that revision; nullptr if no longer cached.
-using FindHeld = std::function<const std::string *(const HeldObject &)>;
+using FindCachedSpec =
+    std::function<const std::string *(const CachedObjectId &)>;
 
-struct CopyRequest {
+struct SnapshotRequest {
   std::string Kind;
   std::uint64_t NewerThan = 0; ///< Revision that the requester has.
-  std::vector<HeldObject> Held{};
-  bool TakesPacked = false;
+  std::vector<CachedObjectId> Cached{};
+  bool AcceptsPacked = false;
 
-  auto operator<=>(const CopyRequest &) const = default;
+  auto operator<=>(const SnapshotRequest &) const = default;
 };
 
-struct CopyAnswer {
+struct SnapshotAnswer {
   std::uint64_t Revision = 0; ///< 0: nothing newer.
   proxy::Objects Objects;
 
-  auto operator<=>(const CopyAnswer &) const = default;
+  auto operator<=>(const SnapshotAnswer &) const = default;
 };
 
 inline constexpr auto WatchPath = "/inner/v1/watch";
@@ -63,8 +64,8 @@
   std::string Kind;
   std::uint64_t NewerThan = 0; ///< Revision that the requester has.
   Duration Wait{};             ///< Maximum time until the answer.
-  std::vector<HeldObject> Held{};
-  bool TakesPacked = false;
+  std::vector<CachedObjectId> Cached{};
+  bool AcceptsPacked = false;
 
   auto operator<=>(const WatchRequest &) const = default;
 };
@@ -74,17 +75,19 @@
   Duration Age{}; ///< Since the store last answered the responder.
 };
 
-std::string encode(const CopyRequest &it);
-std::string encode(const CopyAnswer &it, const PackSpec &pack = nullptr);
+std::string encode(const SnapshotRequest &it);
+std::string encode(const SnapshotAnswer &it, const PackSpec &pack = nullptr);
 std::string encode(const WatchRequest &it);
 std::string encode(const WatchAnswer &it, const PackSpec &pack = nullptr);
-Result<CopyRequest> decodeCopyRequest(const std::string &bytes);
-Result<CopyAnswer> decodeCopyAnswer(const std::string &bytes,
-                                    const FindHeld &findCached = nullptr);
+Result<SnapshotRequest> decodeSnapshotRequest(const std::string &bytes);
+Result<SnapshotAnswer>
+decodeSnapshotAnswer(const std::string &bytes,
+                     const FindCachedSpec &findCached = nullptr);
 Result<WatchRequest> decodeWatchRequest(const std::string &bytes);
-Result<WatchAnswer> decodeWatchAnswer(const std::string &bytes,
-                                      const FindHeld &findCached = nullptr);
+Result<WatchAnswer>
+decodeWatchAnswer(const std::string &bytes,
+                  const FindCachedSpec &findCached = nullptr);
 
 } // namespace peridotfall::messages
 
-#endif // PERIDOTFALL_MESSAGES_COPY_H
+#endif // PERIDOTFALL_MESSAGES_SNAPSHOT_H
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-Duration wayOf(Distance it) {
+Duration roundTripTime(Distance it) {
   using std::chrono::milliseconds;
   switch (it) {
   case Distance::SameDomain:
@@ -68,8 +68,8 @@
 /// daemon that the target has not answered yet: load reports are delayed, so
 /// without them a burst would go to a single target.
 Duration Placement::expectedCost(const Candidate &it, TimePoint now) const {
-  auto out = wayOf(it.Far);
-  if (it.Far == Distance::OtherRegion)
+  auto out = roundTripTime(it.TargetDistance);
+  if (it.TargetDistance == Distance::OtherRegion)
     out += limits::LinkPenalty;
   if (it.IsPrimary)
     out += limits::PrimaryPenalty;
@@ -121,7 +121,7 @@
     auto wait = catchUpWait(demand, it, now);
     if (!wait || !it.Reachable || it.Leaving)
       continue;
-    bool overLink = it.Far == Distance::OtherRegion;
+    bool overLink = it.TargetDistance == Distance::OtherRegion;
     auto total = expectedCost(it, now) + *wait;
     bool usable = it.Name != demand.Avoid && (linkOpen || !overLink) &&
                   isAdmitted(it, now);
--- a/src/platform/backoff.cpp
+++ b/src/platform/backoff.cpp
@@ -4,11 +4,11 @@
 
 namespace peridotfall::platform {
 
-Duration Backoff::failed() {
+Duration Backoff::nextDelay() {
   constexpr unsigned MaxDoublings = 20;
   auto doublings = std::min(Failures++, MaxDoublings);
-  auto delay = std::min(Options.Longest,
-                        Options.First * (Duration::rep(1) << doublings));
+  auto delay = std::min(Options.MaxDelay,
+                        Options.InitialDelay * (Duration::rep(1) << doublings));
   std::uniform_int_distribution<Duration::rep> upperHalf(delay.count() / 2,
                                                          delay.count());
   return Duration(upperHalf(Random));
--- a/src/platform/backoff.h
+++ b/src/platform/backoff.h
@@ -19,8 +19,8 @@
 /// drawn from the upper half of its range, which spreads the retries and is
 /// never zero.
 struct BackoffOptions {
-  Duration First = std::chrono::milliseconds(200);
-  Duration Longest = std::chrono::seconds(20);
+  Duration InitialDelay = std::chrono::milliseconds(200);
+  Duration MaxDelay = std::chrono::seconds(20);
 };
 
 class Backoff {
@@ -29,8 +29,8 @@
       : Options(options), Random(seed) {}
 
   /// Counts a failure. \return the delay before the next attempt.
-  Duration failed();
-  void succeeded() { Failures = 0; }
+  Duration nextDelay();
+  void reset() { Failures = 0; }
   unsigned failures() const { return Failures; }
 
 private:
--- a/src/platform/guarded.cpp
+++ b/src/platform/guarded.cpp
@@ -100,7 +100,7 @@
       Done(State.result());
       return;
     }
-    auto delay = failed ? RetryBackoff.failed() : Duration{};
+    auto delay = failed ? RetryBackoff.nextDelay() : Duration{};
     asio::post(Owner->Loop, [self = shared_from_this(), step, delay] {
       self->Timer.expires_after(delay);
       self->Timer.async_wait([self, step](std::error_code ec) {
--- a/src/platform/http_platform.cpp
+++ b/src/platform/http_platform.cpp
@@ -96,7 +96,7 @@
   Api api;
   api.Get = [channel, limit](const std::string &key, OnObject done) {
     channel->call(makeRequest("GET", "/objects/" + key),
-                  http::beginsWithin(limit),
+                  http::firstByteTimeout(limit),
                   [done = std::move(done)](const http::CallResult &it) {
                     done(readObject(it));
                   });
@@ -116,13 +116,13 @@
     channel->call(
         makeRequest("GET", fmt::format("/watch/{}?after={}&wait_ms={}", key,
                                        after, wait.count())),
-        http::beginsWithin(wait + limit),
+        http::firstByteTimeout(wait + limit),
         [done = std::move(done)](const http::CallResult &it) {
           done(readObject(it));
         });
   };
   api.ListVms = [channel, limit](OnMembers done) {
-    channel->call(makeRequest("GET", "/vms"), http::beginsWithin(limit),
+    channel->call(makeRequest("GET", "/vms"), http::firstByteTimeout(limit),
                   [done = std::move(done)](const http::CallResult &it) {
                     done(readMembers(it));
                   });
--- a/src/proxy/directory.h
+++ b/src/proxy/directory.h
@@ -66,7 +66,8 @@
   std::string Address;
   DomainName Domain;
   RegionName Region;
-  std::uint64_t Born = 0; ///< Changes with a restart, which may keep the name.
+  std::uint64_t StartId =
+      0; ///< Changes with a restart, which may keep the name.
   std::uint32_t Slots = 1;
   bool Leaving = false;
   bool ClaimsPrimary = false;
--- a/src/proxy/environment.cpp
+++ b/src/proxy/environment.cpp
@@ -7,37 +7,37 @@
 namespace {
 
 Statement setStatement(const std::string &name, const std::string &value) {
-  auto it = ownStatement(StatementKind::Set);
+  auto it = makeProxyStatement(StatementKind::Set);
   it.Name = name;
   it.Argument = value;
   return it;
 }
 
-Statement prepareStatement(const Prepared &body) {
-  auto it = ownStatement(StatementKind::Prepare);
+Statement prepareStatement(const PreparedStatement &body) {
+  auto it = makeProxyStatement(StatementKind::Prepare);
   it.Name = sharedName(body);
   it.Body = body;
   return it;
 }
 
 /// The protocol can't unset a single value; only a reset removes it.
-bool needsReset(const Values &have, const Values &want) {
+bool needsReset(const SessionValues &have, const SessionValues &want) {
   return std::any_of(have.begin(), have.end(),
                      [&](const auto &it) { return !want.contains(it.first); });
 }
 
 } // namespace
 
-std::string sharedName(const Prepared &it) {
+std::string sharedName(const PreparedStatement &it) {
   return (it.Writes ? "w_" : "r_") + it.Shape;
 }
 
 std::vector<Statement> planSetup(ConnectionEnvironment &have,
-                                 const Values &want,
-                                 const std::vector<Prepared> &needed) {
+                                 const SessionValues &want,
+                                 const std::vector<PreparedStatement> &needed) {
   std::vector<Statement> out;
   if (needsReset(have.Set, want)) {
-    out.push_back(ownStatement(StatementKind::Reset));
+    out.push_back(makeProxyStatement(StatementKind::Reset));
     have = {};
   }
   for (const auto &[name, value] : want) {
@@ -53,7 +53,7 @@
   return out;
 }
 
-std::size_t distance(const Values &have, const Values &want) {
+std::size_t distance(const SessionValues &have, const SessionValues &want) {
   std::size_t n = 0;
   for (const auto &[name, value] : want) {
     auto it = have.find(name);
--- a/src/proxy/environment.h
+++ b/src/proxy/environment.h
@@ -14,31 +14,31 @@
 
 namespace peridotfall::proxy {
 
-using Values = std::map<std::string, std::string>;
+using SessionValues = std::map<std::string, std::string>;
 
 /// Values and prepared statements that exist on one target connection. The name
 /// of a prepared statement there is derived from its body, so that sessions
 /// share it.
 struct ConnectionEnvironment {
-  Values Set;
-  std::set<Prepared> PreparedStatements;
+  SessionValues Set;
+  std::set<PreparedStatement> PreparedStatements;
 
   auto operator<=>(const ConnectionEnvironment &) const = default;
 };
 
 /// \return the name of a prepared statement on target connections.
-std::string sharedName(const Prepared &it);
+std::string sharedName(const PreparedStatement &it);
 
 /// Plans the statements that give a connection the session's values and prepare
 /// what a batch needs.
 /// \param have is updated to the state after the returned statements.
 std::vector<Statement> planSetup(ConnectionEnvironment &have,
-                                 const Values &want,
-                                 const std::vector<Prepared> &needed);
+                                 const SessionValues &want,
+                                 const std::vector<PreparedStatement> &needed);
 
 /// \return how many values differ. The connection with the lowest number is
 /// used.
-std::size_t distance(const Values &have, const Values &want);
+std::size_t distance(const SessionValues &have, const SessionValues &want);
 
 } // namespace peridotfall::proxy
 
--- a/src/proxy/succession.cpp
+++ b/src/proxy/failover_controller.cpp
@@ -1,4 +1,4 @@
-#include "proxy/succession.h"
+#include "proxy/failover_controller.h"
 
 #include "telemetry/events.h"
 
@@ -17,21 +17,22 @@
 
 } // namespace
 
-Succession::Succession(Place self, std::uint64_t incarnation, Groups &groups,
-                       SuccessionPort &port, ProxyMetrics &metrics,
-                       const Clock &clock)
+FailoverController::FailoverController(Locality self, std::uint64_t incarnation,
+                                       Groups &groups, FailoverPort &port,
+                                       ProxyMetrics &metrics,
+                                       const Clock &clock)
     : Self(std::move(self)), Incarnation(incarnation), Targets(groups),
       Port(port), Metrics(metrics), Time(clock), HolderSeenAt(clock.now()),
       LastTick(clock.now()) {}
 
-bool Succession::holds() const {
+bool FailoverController::isLeader() const {
   return Record && Record->Holder == Self.Vm &&
          Record->Incarnation == Incarnation;
 }
 
-void Succession::takeRecord(const std::optional<DutyRecord> &record,
-                            std::uint64_t revision) {
-  bool held = holds();
+void FailoverController::handleRecord(
+    const std::optional<LeadershipRecord> &record, std::uint64_t revision) {
+  bool held = isLeader();
   bool otherHolder = !Record || !record || record->Holder != Record->Holder ||
                      record->Incarnation != Record->Incarnation;
   RecordKnown = true;
@@ -41,13 +42,13 @@
     noteHolderSeen();
   if (StoreQueried && !StoreReachedAt)
     StoreReachedAt = Time.now();
-  if (!held && holds()) {
+  if (!held && isLeader()) {
     restartSuspicions();
     NextNumber = record->First;
     telemetry::log(Event::DutyTaken, {field("first_number", record->First),
                                       field("revision", revision)});
   }
-  if (held && !holds()) {
+  if (held && !isLeader()) {
     Changes.clear();
     telemetry::log(Event::DutyLost,
                    {field("holder", record ? record->Holder.Value : "none"),
@@ -55,10 +56,12 @@
   }
 }
 
-void Succession::takeMembers(const std::vector<Member> &live) { Live = live; }
+void FailoverController::updateMembers(const std::vector<Member> &live) {
+  Live = live;
+}
 
 /// \return this daemon's rank among those that may become leader.
-std::optional<std::size_t> Succession::takeoverRank() const {
+std::optional<std::size_t> FailoverController::takeoverRank() const {
   auto ranked =
       rankOwners(Live, TargetName("failover duty"), DomainName(), RegionName());
   auto it = std::find_if(ranked.begin(), ranked.end(),
@@ -68,10 +71,10 @@
   return static_cast<std::size_t>(it - ranked.begin());
 }
 
-void Succession::tickLeadership(TimePoint now) {
+void FailoverController::tickLeadership(TimePoint now) {
   if (!RecordKnown || Writing)
     return;
-  if (holds()) {
+  if (isLeader()) {
     if (Record->Last - NextNumber < limits::MinNumbersLeft && now >= NextClaim)
       reserveNumbers();
     return;
@@ -89,13 +92,13 @@
     handleMissingHolder(now);
 }
 
-void Succession::noteHolderSeen() {
+void FailoverController::noteHolderSeen() {
   HolderSeenAt = Time.now();
   StoreQueried = false;
   StoreReachedAt.reset();
 }
 
-void Succession::handleMissingHolder(TimePoint now) {
+void FailoverController::handleMissingHolder(TimePoint now) {
   auto ownRank = takeoverRank();
   if (!ownRank)
     return;
@@ -123,8 +126,8 @@
     claimLeadership(now);
 }
 
-void Succession::claimLeadership(TimePoint now) {
-  DutyRecord next;
+void FailoverController::claimLeadership(TimePoint now) {
+  LeadershipRecord next;
   next.Holder = Self.Vm;
   next.Incarnation = Incarnation;
   next.First = Record ? Record->Last + 1 : 1;
@@ -134,7 +137,7 @@
   Port.writeRecord(next, Record ? Revision : 0);
 }
 
-void Succession::reserveNumbers() {
+void FailoverController::reserveNumbers() {
   auto next = *Record;
   next.Last += limits::ReservedNumbers;
   Writing = true;
@@ -142,7 +145,7 @@
   Port.writeRecord(next, Revision);
 }
 
-void Succession::takeWritten(CallOutcome outcome) {
+void FailoverController::handleWritten(CallOutcome outcome) {
   Writing = false;
   // The record is read back whatever the outcome: with a lost answer, the write
   // may have succeeded or may still succeed later.
@@ -151,7 +154,7 @@
   Port.readRecord();
 }
 
-void Succession::tick() {
+void FailoverController::tick() {
   auto now = Time.now();
   bool paused = now - LastTick > limits::MaxTickInterval;
   LastTick = now;
@@ -161,23 +164,24 @@
     // calls. A promotion based on the old record would undo the other's.
     noteHolderSeen();
     restartSuspicions();
-    if (holds())
+    if (isLeader())
       Port.readRecord();
   }
   tickLeadership(now);
-  if (!holds())
+  if (!isLeader())
     return;
   for (auto &[name, group] : Targets.all())
     tickGroup(name, *group, now);
 }
 
-void Succession::restartSuspicions() {
+void FailoverController::restartSuspicions() {
   for (auto &[name, group] : Targets.all())
-    if (group->LeaderMissing)
-      group->LeaderMissing = Time.now();
+    if (group->LeaderMissingSince)
+      group->LeaderMissingSince = Time.now();
 }
 
-void Succession::tickGroup(const GroupName &name, Group &group, TimePoint now) {
+void FailoverController::tickGroup(const GroupName &name, Group &group,
+                                   TimePoint now) {
   if (group.Targets.empty())
     return;
   auto &change = Changes[name];
@@ -199,7 +203,8 @@
       sendPromotion(name, change);
     return;
   case Step::Settling: {
-    bool leads = group.View.leader() == change.Chosen && !group.LeaderMissing;
+    bool leads =
+        group.View.leader() == change.Chosen && !group.LeaderMissingSince;
     if (leads)
       countChangePart(Metrics, ChangePart::Takeover, now - change.Since);
     if (leads || now - change.Since >= limits::PromotionSettleTimeout)
@@ -209,8 +214,8 @@
   }
 }
 
-void Succession::detectFailure(const GroupName &name, Group &group,
-                               Change &change, TimePoint now) {
+void FailoverController::detectFailure(const GroupName &name, Group &group,
+                                       Change &change, TimePoint now) {
   if (group.LeavingSince) {
     if (now - *group.LeavingSince >= limits::HandoverDelay) {
       change.Planned = true;
@@ -218,39 +223,41 @@
     }
     return;
   }
-  if (!group.LeaderMissing || now - *group.LeaderMissing < limits::SuspectAfter)
+  if (!group.LeaderMissingSince ||
+      now - *group.LeaderMissingSince < limits::SuspectAfter)
     return;
   change.CurrentStep = Step::Confirming;
   change.Since = now;
-  countChangePart(Metrics, ChangePart::Detection, now - *group.LeaderMissing);
+  countChangePart(Metrics, ChangePart::Detection,
+                  now - *group.LeaderMissingSince);
   auto leader = group.View.leader();
   telemetry::log(Event::PrimarySuspected,
                  {field("group", name.Value),
                   field("target", leader ? leader->Value : "none"),
                   field("missing_ms", std::chrono::duration_cast<milliseconds>(
-                                          now - *group.LeaderMissing)
+                                          now - *group.LeaderMissingSince)
                                           .count())});
   change.TargetsRead = false;
   change.Reports.reset();
   Port.readTargets();
-  Port.askPeers(name);
+  Port.queryPeers(name);
 }
 
-void Succession::takeEvidence(const GroupName &name,
-                              const PeerEvidence &evidence) {
+void FailoverController::handlePeerReports(const GroupName &name,
+                                           const PeerReports &evidence) {
   auto it = Changes.find(name);
   if (it != Changes.end() && it->second.CurrentStep == Step::Confirming)
     it->second.Reports = evidence;
 }
 
-void Succession::takeTargetsRead() {
+void FailoverController::handleTargetsRead() {
   for (auto &[name, change] : Changes)
     change.TargetsRead = true;
 }
 
-void Succession::confirmFailure(const GroupName &name, Group &group,
-                                Change &change, TimePoint now) {
-  if (!group.LeaderMissing) {
+void FailoverController::confirmFailure(const GroupName &name, Group &group,
+                                        Change &change, TimePoint now) {
+  if (!group.LeaderMissingSince) {
     change = {};
     return;
   }
@@ -258,13 +265,14 @@
   if (!all && now - change.Since < limits::PeerReportTimeout)
     return;
   // Without an answer in time, this daemon's own view decides.
-  auto evidence = change.Reports.value_or(PeerEvidence{});
+  auto evidence = change.Reports.value_or(PeerReports{});
   // The primary is replaced only if no majority of the daemons reaches it.
   // Replacing it on one daemon's view would lose records and interrupt all
   // callers for the fault of one link.
-  if (evidence.Reach * 2 > evidence.Answered + 1) {
+  if (evidence.Reachable * 2 > evidence.Answered + 1) {
     telemetry::log(Event::PrimaryReachedByOthers,
-                   {field("group", name.Value), field("reach", evidence.Reach),
+                   {field("group", name.Value),
+                    field("reach", evidence.Reachable),
                     field("answered", evidence.Answered)});
     change = {};
     change.NotBefore = now + limits::SuspectAfter;
@@ -273,8 +281,8 @@
   beginSelection(name, group, change);
 }
 
-void Succession::beginSelection(const GroupName &name, Group &group,
-                                Change &change) {
+void FailoverController::beginSelection(const GroupName &name, Group &group,
+                                        Change &change) {
   auto now = Time.now();
   if (change.CurrentStep == Step::Confirming)
     countChangePart(Metrics, ChangePart::Confirmation, now - change.Since);
@@ -285,16 +293,16 @@
   queryStatus(name, group, change);
 }
 
-void Succession::queryStatus(const GroupName &name, Group &group,
-                             Change &change) {
+void FailoverController::queryStatus(const GroupName &name, Group &group,
+                                     Change &change) {
   for (const auto &it : group.Targets) {
     if (!isCandidate(group, it) || change.Statuses.contains(it.Name) ||
         !change.Pending.insert(it.Name).second)
       continue;
     Batch batch;
-    batch.Statements = {ownStatement(StatementKind::Status)};
+    batch.Statements = {makeProxyStatement(StatementKind::Status)};
     batch.EndsLease = true;
-    batch.Patience = limits::StatusTimeout;
+    batch.Timeout = limits::StatusTimeout;
     LeaseRequest request{it.Name, 0, limits::StatusTimeout,
                          2 * limits::StatusTimeout};
     auto target = it.Name;
@@ -304,7 +312,7 @@
           found->second.CurrentStep != Step::Selecting)
         return;
       found->second.Pending.erase(target);
-      bool whole = result.End == BatchEnd::Whole && result.Answers[0].Status;
+      bool whole = result.End == BatchEnd::Complete && result.Answers[0].Status;
       if (whole)
         found->second.Statuses[target] = *result.Answers[0].Status;
     };
@@ -315,10 +323,10 @@
 /// Selects the replica that has received most; records that it lacks are lost.
 /// Waits a limited time for the answers of all replicas, and in a planned
 /// change also for a replica to catch up with the primary.
-void Succession::selectReplica(const GroupName &name, Group &group,
-                               Change &change, TimePoint now) {
+void FailoverController::selectReplica(const GroupName &name, Group &group,
+                                       Change &change, TimePoint now) {
   auto leader = group.View.leader();
-  bool primaryBack = !change.Planned && !group.LeaderMissing;
+  bool primaryBack = !change.Planned && !group.LeaderMissingSince;
   bool handoverCancelled = change.Planned && !group.LeavingSince;
   if (primaryBack || handoverCancelled) {
     change = {};
@@ -365,7 +373,7 @@
     change.NotBefore = now + milliseconds(50);
     return;
   }
-  if (!holds() || NextNumber > Record->Last) {
+  if (!isLeader() || NextNumber > Record->Last) {
     telemetry::log(Event::TermsExhausted, {field("group", name.Value)});
     change.NotBefore = now + limits::PromotionRetryPause;
     return;
@@ -386,7 +394,7 @@
   beginPromotion(name, change);
 }
 
-void Succession::beginPromotion(const GroupName &name, Change &change) {
+void FailoverController::beginPromotion(const GroupName &name, Change &change) {
   auto now = Time.now();
   countChangePart(Metrics, ChangePart::Selection, now - change.Since);
   change.CurrentStep = Step::Promoting;
@@ -396,15 +404,16 @@
   sendPromotion(name, change);
 }
 
-void Succession::sendPromotion(const GroupName &name, Change &change) {
+void FailoverController::sendPromotion(const GroupName &name, Change &change) {
   change.LastCall = Time.now();
   ++change.Calls;
   ++change.Unanswered;
   Port.promote(name, change.Chosen, change.Number);
 }
 
-void Succession::takePromoted(const GroupName &name, CallOutcome outcome,
-                              std::optional<std::uint64_t> number) {
+void FailoverController::handlePromoted(const GroupName &name,
+                                        CallOutcome outcome,
+                                        std::optional<std::uint64_t> number) {
   auto it = Changes.find(name);
   if (it == Changes.end() || it->second.CurrentStep != Step::Promoting)
     return;
--- a/src/proxy/succession.h
+++ b/src/proxy/failover_controller.h
@@ -3,8 +3,8 @@
 /// leader, decides this for all groups; a record in the platform's store names
 /// it.
 
-#ifndef PERIDOTFALL_PROXY_SUCCESSION_H
-#define PERIDOTFALL_PROXY_SUCCESSION_H
+#ifndef PERIDOTFALL_PROXY_FAILOVER_CONTROLLER_H
+#define PERIDOTFALL_PROXY_FAILOVER_CONTROLLER_H
 
 #include "peridotfall/membership.h"
 #include "proxy/groups.h"
@@ -81,34 +81,34 @@
 /// The failover leader and its range of promotion numbers. A number is used
 /// for one target only: a call without an answer may be carried out late, and
 /// must then have a lower number than the decision that followed it.
-struct DutyRecord {
+struct LeadershipRecord {
   VmName Holder;
   std::uint64_t Incarnation = 0;
   std::uint64_t First = 0; ///< Lowest promotion number of this holder.
   std::uint64_t Last = 0;  ///< Highest.
 
-  auto operator<=>(const DutyRecord &) const = default;
+  auto operator<=>(const LeadershipRecord &) const = default;
 };
 
 enum class CallOutcome : std::uint8_t { Done, Refused, Unknown };
 
 /// The other daemons' reports on a group's primary.
-struct PeerEvidence {
+struct PeerReports {
   std::size_t Answered = 0;
-  std::size_t Reach = 0; ///< Of these, how many reach the primary.
+  std::size_t Reachable = 0; ///< Of these, how many reach the primary.
 
-  auto operator<=>(const PeerEvidence &) const = default;
+  auto operator<=>(const PeerReports &) const = default;
 };
 
 /// Calls to the platform and to other daemons. Each is answered once, through
 /// the method of FailoverController that its comment names, and never from
 /// within the call.
-class SuccessionPort {
+class FailoverPort {
 public:
-  virtual ~SuccessionPort() = default;
+  virtual ~FailoverPort() = default;
   /// Answered by handleWritten.
   /// \param revision of the stored record; 0 if there is none.
-  virtual void writeRecord(const DutyRecord &record,
+  virtual void writeRecord(const LeadershipRecord &record,
                            std::uint64_t revision) = 0;
   /// Answered by handleRecord.
   virtual void readRecord() = 0;
@@ -119,29 +119,30 @@
   /// because another leader may already have replaced the primary.
   virtual void readTargets() = 0;
   /// Answered by handlePeerReports.
-  virtual void askPeers(const GroupName &group) = 0;
+  virtual void queryPeers(const GroupName &group) = 0;
 };
 
 /// Not synchronised.
-class Succession {
+class FailoverController {
 public:
-  Succession(Place self, std::uint64_t incarnation, Groups &groups,
-             SuccessionPort &port, ProxyMetrics &metrics, const Clock &clock);
+  FailoverController(Locality self, std::uint64_t incarnation, Groups &groups,
+                     FailoverPort &port, ProxyMetrics &metrics,
+                     const Clock &clock);
 
   /// \param record empty if the store has none.
-  void takeRecord(const std::optional<DutyRecord> &record,
-                  std::uint64_t revision);
-  void takeWritten(CallOutcome outcome);
-  void takeMembers(const std::vector<Member> &live);
+  void handleRecord(const std::optional<LeadershipRecord> &record,
+                    std::uint64_t revision);
+  void handleWritten(CallOutcome outcome);
+  void updateMembers(const std::vector<Member> &live);
   /// \param number of the call; if empty, that of the last one. An answer to
   /// an older decision is ignored.
-  void takePromoted(const GroupName &group, CallOutcome outcome,
-                    std::optional<std::uint64_t> number = std::nullopt);
-  void takeEvidence(const GroupName &group, const PeerEvidence &evidence);
-  void takeTargetsRead();
+  void handlePromoted(const GroupName &group, CallOutcome outcome,
+                      std::optional<std::uint64_t> number = std::nullopt);
+  void handlePeerReports(const GroupName &group, const PeerReports &evidence);
+  void handleTargetsRead();
   void tick();
 
-  bool holds() const;
+  bool isLeader() const;
   /// Sets this daemon's incarnation; call only before it becomes leader.
   void raiseIncarnation(std::uint64_t incarnation) {
     Incarnation = incarnation;
@@ -160,7 +161,7 @@
     TimePoint Since{};
     TimePoint NotBefore{};
     bool Planned = false;
-    std::optional<PeerEvidence> Reports;
+    std::optional<PeerReports> Reports;
     bool TargetsRead = false;
     std::map<TargetName, TargetStatus> Statuses;
     std::set<TargetName> Pending;
@@ -191,13 +192,13 @@
   void beginPromotion(const GroupName &name, Change &change);
   void sendPromotion(const GroupName &name, Change &change);
 
-  Place Self;
+  Locality Self;
   std::uint64_t Incarnation;
   Groups &Targets;
-  SuccessionPort &Port;
+  FailoverPort &Port;
   ProxyMetrics &Metrics;
   const Clock &Time;
-  std::optional<DutyRecord> Record;
+  std::optional<LeadershipRecord> Record;
   std::uint64_t Revision = 0;
   bool RecordKnown = false; ///< Record is up to date, also if empty.
   bool Writing = false;
@@ -213,4 +214,4 @@
 
 } // namespace peridotfall::proxy
 
-#endif // PERIDOTFALL_PROXY_SUCCESSION_H
+#endif // PERIDOTFALL_PROXY_FAILOVER_CONTROLLER_H
--- a/src/proxy/group_view.cpp
+++ b/src/proxy/group_view.cpp
@@ -9,9 +9,9 @@
   const TargetEntry *newest = nullptr;
   for (const auto &it : targets) {
     auto before = Claims.find(it.Name);
-    bool known = before != Claims.end() && before->second.Born == it.Born;
+    bool known = before != Claims.end() && before->second.StartId == it.StartId;
     bool isNewClaim = it.ClaimsPrimary && !(known && before->second.Leads);
-    next[it.Name] = {it.ClaimsPrimary, it.Revision, it.Born};
+    next[it.Name] = {it.ClaimsPrimary, it.Revision, it.StartId};
     if (isNewClaim && (!newest || newest->Revision < it.Revision))
       newest = &it;
     // A target that was restarted does not lead until it claims to.
@@ -68,7 +68,7 @@
   return it->Head;
 }
 
-Duration GroupView::ageOf(Position at, TimePoint now) const {
+Duration GroupView::maxAgeOf(Position at, TimePoint now) const {
   if (Samples.empty())
     return {};
   // The view includes all that was acknowledged before the query that returned
--- a/src/proxy/group_view.h
+++ b/src/proxy/group_view.h
@@ -40,20 +40,20 @@
 
   const std::optional<TargetName> &leader() const { return Leader; }
   Term term() const { return LeaderTerm; }
-  std::optional<TimePoint> lastProof() const { return ConfirmedAt; }
+  std::optional<TimePoint> lastConfirmed() const { return ConfirmedAt; }
   /// \return the last position seen of the primary's log.
   std::optional<Position> lastHead() const;
   /// \return the lowest known position that includes every commit acknowledged
   /// longer than \p maxAge ago; empty if all samples are older than that.
   std::optional<Position> positionFor(Duration maxAge, TimePoint now) const;
   /// \return the maximum age of a view that includes the log up to \p at.
-  Duration ageOf(Position at, TimePoint now) const;
+  Duration maxAgeOf(Position at, TimePoint now) const;
 
 private:
   struct Claim {
     bool Leads = false;
     std::uint64_t Revision = 0;
-    std::uint64_t Born = 0;
+    std::uint64_t StartId = 0;
   };
   struct HeadSample {
     TimePoint SentAt;
--- a/src/proxy/groups.cpp
+++ b/src/proxy/groups.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 bool isSameProcess(const TargetEntry &a, const TargetEntry &b) {
-  return a.Born == b.Born && a.Address == b.Address && a.Group == b.Group;
+  return a.StartId == b.StartId && a.Address == b.Address && a.Group == b.Group;
 }
 
 /// Counts one use of a path, until its answer arrives or its callback is
@@ -40,7 +40,7 @@
   }
 
 private:
-  Paths *paths() {
+  HolderPaths *paths() {
     auto table = SharedPaths.lock();
     if (!table)
       return nullptr;
@@ -71,10 +71,10 @@
 /// contains the target's position.
 Batch queryBatch(StatementKind beginning) {
   Batch out;
-  out.Statements = {ownStatement(beginning),
-                    ownStatement(StatementKind::Rollback)};
+  out.Statements = {makeProxyStatement(beginning),
+                    makeProxyStatement(StatementKind::Rollback)};
   out.EndsLease = true;
-  out.Patience = limits::LeaderCheckTimeout;
+  out.Timeout = limits::LeaderCheckTimeout;
   return out;
 }
 
@@ -88,7 +88,7 @@
 
 } // namespace
 
-Groups::Groups(Place self, TargetPort &port, RelayPort &relay,
+Groups::Groups(Locality self, TargetPort &port, RelayPort &relay,
                const Clock &clock)
     : Self(std::move(self)), Port(port), Relay(relay), Time(clock) {
   Member here;
@@ -108,7 +108,7 @@
   return it == Pools.end() ? nullptr : it->second.get();
 }
 
-void Groups::takeTargets(const TargetList &targets) {
+void Groups::updateTargets(const TargetList &targets) {
   for (auto it = Pools.begin(); it != Pools.end();) {
     auto now = targets.find(it->first);
     bool gone = now == targets.end();
@@ -125,7 +125,7 @@
     if (gone)
       pool->retire();
     else
-      pool->breakAll();
+      pool->abortAll();
     Retired.push_back(std::move(pool));
   }
   std::map<GroupName, std::vector<TargetEntry>> byGroup;
@@ -160,13 +160,13 @@
                      {field("group", name.Value),
                       field("target", after ? after->Value : "none"),
                       field("by", "list of targets")});
-    if (after && before != after && OnLeader)
-      OnLeader(name);
+    if (after && before != after && OnLeaderKnown)
+      OnLeaderKnown(name);
   }
   assignConnections();
 }
 
-void Groups::takeSettings(const std::map<GroupName, GroupSettings> &settings) {
+void Groups::applySettings(const std::map<GroupName, GroupSettings> &settings) {
   for (const auto &[name, it] : settings) {
     auto &group = ByName[name];
     if (!group)
@@ -280,7 +280,7 @@
 
 bool Groups::isHeldHere(LeaseId lease) {
   auto *it = poolOf(lease);
-  return it && it->isHeld(lease);
+  return it && it->isAwaitingBatch(lease);
 }
 
 std::optional<TimePoint>
@@ -301,7 +301,7 @@
   return it && !it->Leaving && !unreachableSince(target);
 }
 
-std::optional<TargetName> Groups::writable(const Group &group) const {
+std::optional<TargetName> Groups::writablePrimary(const Group &group) const {
   const auto &leader = group.View.leader();
   if (!leader)
     return std::nullopt;
@@ -337,14 +337,15 @@
     candidate.IsPrimary = group.View.leader() == it.Name;
     candidate.Reachable = isUsable(it.Name);
     candidate.Leaving = it.Leaving;
-    candidate.Far = distanceTo(it);
+    candidate.TargetDistance = distanceTo(it);
     out.push_back(std::move(candidate));
   }
   return out;
 }
 
-void Groups::learn(Group &group, const TargetName &target, const Batch &batch,
-                   const BatchResult &result, bool plain, TimePoint sent) {
+void Groups::handleAnswers(Group &group, const TargetName &target,
+                           const Batch &batch, const BatchResult &result,
+                           bool plain, TimePoint sent) {
   auto before = group.View.leader();
   for (std::size_t n = 0; n < result.Answers.size(); ++n) {
     const auto &statement = batch.Statements[n];
@@ -355,7 +356,7 @@
     bool provesLead = provesLeader(statement, plain);
     if (provesLead && answer.ok() && answer.At) {
       group.View.noteLeading(target, *answer.At, sent);
-      group.Reads.noteHead(*answer.At, Time.now());
+      group.ReadPlacement.noteHead(*answer.At, Time.now());
     }
     if (answer.Error && answer.Error->Kind == ErrorKind::ReadOnly)
       group.View.noteNotLeading(target);
@@ -370,8 +371,8 @@
                   field("term", group.View.term()), field("by", "answer"),
                   field("from", target.Value)});
   group.NextLeaderQuery = Time.now();
-  if (after && OnLeader)
-    OnLeader(name);
+  if (after && OnLeaderKnown)
+    OnLeaderKnown(name);
 }
 
 void Groups::queryLeader(const TargetName &target) {
@@ -388,7 +389,7 @@
   auto learned = [this, group = it->Group, target, batch,
                   sent = Time.now()](const BatchResult &out) {
     if (auto *found = find(group))
-      learn(*found, target, batch, out, true, sent);
+      handleAnswers(*found, target, batch, out, true, sent);
   };
   beginVia(by, queryRequest(target), batch, learned);
 }
@@ -398,20 +399,20 @@
   for (const auto &it : group.Targets) {
     bool isReplica = group.View.leader() != it.Name;
     if (!isReplica || !isUsable(it.Name) ||
-        !group.Reads.lagsBy(it.Name, limits::LargeLag))
+        !group.ReadPlacement.lagsBy(it.Name, limits::LargeLag))
       continue;
     auto learned = [this, name = it.Group,
                     target = it.Name](const BatchResult &out) {
       auto *found = find(name);
       if (!found || out.Answers.empty() || !out.Answers[0].At)
         return;
-      found->Reads.noteApplied(target, *out.Answers[0].At, Time.now());
+      found->ReadPlacement.noteApplied(target, *out.Answers[0].At, Time.now());
     };
     begin(queryRequest(it.Name), queryBatch(StatementKind::BeginRead), learned);
   }
 }
 
-Group *Groups::use(const GroupName &name) {
+Group *Groups::markUsed(const GroupName &name) {
   auto *group = find(name);
   if (!group)
     return nullptr;
@@ -433,9 +434,9 @@
   const auto *it = leader ? entry(*leader) : nullptr;
   bool missing = !it || unreachableSince(*leader);
   if (!missing)
-    group.LeaderMissing.reset();
-  else if (!group.LeaderMissing)
-    group.LeaderMissing = now;
+    group.LeaderMissingSince.reset();
+  else if (!group.LeaderMissingSince)
+    group.LeaderMissingSince = now;
   bool leaving = it && it->Leaving;
   if (!leaving)
     group.LeavingSince.reset();
@@ -446,7 +447,7 @@
     queryApplied(group, now);
   if (now < group.NextLeaderQuery)
     return;
-  auto proof = group.View.lastProof();
+  auto proof = group.View.lastConfirmed();
   if (missing || leaving) {
     group.NextLeaderQuery = now + limits::LeaderQueryPause;
     for (const auto &target : group.Targets)
@@ -474,7 +475,7 @@
   auto now = Time.now();
   for (auto &it : std::exchange(UnservedBatches, {})) {
     BatchResult failed;
-    failed.Why = {ErrorKind::Busy, "the connection is gone"};
+    failed.Error = {ErrorKind::Busy, "the connection is gone"};
     if (it)
       it(std::move(failed));
   }
--- a/src/proxy/groups.h
+++ b/src/proxy/groups.h
@@ -8,7 +8,7 @@
 #include "peridotfall/membership.h"
 #include "peridotfall/placement.h"
 #include "proxy/group_view.h"
-#include "proxy/paths.h"
+#include "proxy/holder_paths.h"
 #include "proxy/target_pool.h"
 
 #include <functional>
@@ -46,12 +46,12 @@
 } // namespace limits
 
 /// The VM, failure domain and region of this daemon.
-struct Place {
+struct Locality {
   VmName Vm;
   DomainName Domain;
   RegionName Region;
 
-  auto operator<=>(const Place &) const = default;
+  auto operator<=>(const Locality &) const = default;
 };
 
 /// Runs leases on connections held by other daemons.
@@ -68,20 +68,20 @@
 };
 
 /// For each target, the connection holders through which it is reached.
-using PathTable = std::map<TargetName, Paths>;
+using PathTable = std::map<TargetName, HolderPaths>;
 
 struct Group {
-  explicit Group(std::uint64_t seed) : Reads(seed) {}
+  explicit Group(std::uint64_t seed) : ReadPlacement(seed) {}
 
   GroupSettings Settings;
   GroupView View;
-  Placement Reads;
+  Placement ReadPlacement;
   std::vector<TargetEntry> Targets;
   std::optional<TimePoint> UsedAt;
   TimePoint NextLeaderQuery{};
   TimePoint NextAppliedQuery{};
   /// When the primary became unknown or unreachable.
-  std::optional<TimePoint> LeaderMissing;
+  std::optional<TimePoint> LeaderMissingSince;
   /// When the primary was first seen as leaving.
   std::optional<TimePoint> LeavingSince;
 };
@@ -90,11 +90,11 @@
 /// answers that are passed to handleAnswers(). Not synchronised.
 class Groups final : public LeaseHost {
 public:
-  Groups(Place self, TargetPort &port, RelayPort &relay, const Clock &clock);
+  Groups(Locality self, TargetPort &port, RelayPort &relay, const Clock &clock);
 
   /// \param targets the platform's complete list.
-  void takeTargets(const TargetList &targets);
-  void takeSettings(const std::map<GroupName, GroupSettings> &settings);
+  void updateTargets(const TargetList &targets);
+  void applySettings(const std::map<GroupName, GroupSettings> &settings);
   /// \param limit time in which a leaving target may get new work.
   void setLeavingLimit(milliseconds limit) { LeavingLimit = limit; }
   /// \param live daemons among which the targets' connections are divided.
@@ -114,9 +114,9 @@
   Group *find(const GroupName &name);
   std::map<GroupName, std::unique_ptr<Group>> &all() { return ByName; }
   /// Marks a group as used, so that tick() keeps its log head fresh.
-  Group *use(const GroupName &name);
+  Group *markUsed(const GroupName &name);
   /// \return the primary that accepts new work now; empty if writes must wait.
-  std::optional<TargetName> writable(const Group &group) const;
+  std::optional<TargetName> writablePrimary(const Group &group) const;
   /// \return whether a target is known, reachable and not leaving.
   bool isUsable(const TargetName &target) const;
   /// \return since when all paths to the target have failed; empty if one
@@ -126,12 +126,12 @@
   std::vector<Candidate> candidates(const Group &group);
   /// Updates the group's leader and log positions from the answers of a batch.
   /// \param plain whether the batch's transaction may write.
-  void learn(Group &group, const TargetName &target, const Batch &batch,
-             const BatchResult &result, bool plain, TimePoint sent);
+  void handleAnswers(Group &group, const TargetName &target, const Batch &batch,
+                     const BatchResult &result, bool plain, TimePoint sent);
   /// Called with the time that each lease waited for a connection here.
   std::function<void(Duration)> OnWaited;
   /// Called when a group's leader becomes known.
-  std::function<void(const GroupName &)> OnLeader;
+  std::function<void(const GroupName &)> OnLeaderKnown;
   void tick();
   /// \return the sums over all targets.
   PoolStats poolStats() const;
@@ -165,7 +165,7 @@
   Distance distanceTo(const TargetEntry &target) const;
   TargetPool *poolOf(LeaseId lease);
 
-  Place Self;
+  Locality Self;
   TargetPort &Port;
   RelayPort &Relay;
   const Clock &Time;
--- a/src/proxy/paths.cpp
+++ b/src/proxy/holder_paths.cpp
@@ -1,4 +1,4 @@
-#include "proxy/paths.h"
+#include "proxy/holder_paths.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
   return out;
 }
 
-void Paths::setHolders(const std::vector<VmName> &holders) {
+void HolderPaths::setHolders(const std::vector<VmName> &holders) {
   std::map<VmName, PathState> next;
   for (const auto &it : holders)
     next[it] = States[it];
@@ -27,7 +27,8 @@
   Holders = holders;
 }
 
-std::optional<VmName> Paths::choose(const VmName &self, bool selfFree) const {
+std::optional<VmName> HolderPaths::choose(const VmName &self,
+                                          bool selfFree) const {
   std::optional<VmName> best;
   std::size_t fewest = 0;
   std::optional<VmName> failedPath;
@@ -48,12 +49,12 @@
   return best ? best : failedPath;
 }
 
-void Paths::started(const VmName &by) {
+void HolderPaths::started(const VmName &by) {
   if (auto it = States.find(by); it != States.end())
     ++it->second.Outstanding;
 }
 
-void Paths::ended(const VmName &by, bool failed, TimePoint now) {
+void HolderPaths::ended(const VmName &by, bool failed, TimePoint now) {
   auto found = States.find(by);
   if (found == States.end())
     return;
@@ -67,13 +68,13 @@
   }
 }
 
-void Paths::dropped(const VmName &by) {
+void HolderPaths::dropped(const VmName &by) {
   auto it = States.find(by);
   if (it != States.end() && it->second.Outstanding > 0)
     --it->second.Outstanding;
 }
 
-std::vector<VmName> Paths::probesDue(TimePoint now) {
+std::vector<VmName> HolderPaths::probesDue(TimePoint now) {
   std::vector<VmName> out;
   for (auto &[name, it] : States) {
     if (!it.FailingSince || now < it.NextProbe)
@@ -84,7 +85,7 @@
   return out;
 }
 
-std::optional<TimePoint> Paths::unreachableSince() const {
+std::optional<TimePoint> HolderPaths::unreachableSince() const {
   std::optional<TimePoint> out;
   for (const auto &[name, it] : States) {
     if (!it.FailingSince)
--- a/src/proxy/paths.h
+++ b/src/proxy/holder_paths.h
@@ -3,8 +3,8 @@
 /// connections, so a few daemons (its connection holders) have them and run
 /// statements for the others. The path via a holder is healthy or failed.
 
-#ifndef PERIDOTFALL_PROXY_PATHS_H
-#define PERIDOTFALL_PROXY_PATHS_H
+#ifndef PERIDOTFALL_PROXY_HOLDER_PATHS_H
+#define PERIDOTFALL_PROXY_HOLDER_PATHS_H
 
 #include "peridotfall/clock.h"
 #include "peridotfall/names.h"
@@ -59,7 +59,7 @@
                        std::size_t daemons);
 
 /// The paths to one target, one per connection holder. Not synchronised.
-class Paths {
+class HolderPaths {
 public:
   /// \param holders by rank. Holders that stay keep their state.
   void setHolders(const std::vector<VmName> &holders);
@@ -92,4 +92,4 @@
 
 } // namespace peridotfall::proxy
 
-#endif // PERIDOTFALL_PROXY_PATHS_H
+#endif // PERIDOTFALL_PROXY_HOLDER_PATHS_H
--- a/src/proxy/lease.h
+++ b/src/proxy/lease.h
@@ -20,11 +20,12 @@
 
 /// Statements sent in one write. At most one of them is the caller's.
 struct Batch {
-  Values Session;              ///< Session values to be set on the connection.
-  std::vector<Prepared> Needs; ///< To be prepared on the connection.
+  SessionValues Session; ///< Session values to be set on the connection.
+  std::vector<PreparedStatement>
+      RequiredPrepared; ///< To be prepared on the connection.
   std::vector<Statement> Statements;
   bool EndsLease = false; ///< Once the batch is answered.
-  Duration Patience{};    ///< For the answers, once the batch is sent.
+  Duration Timeout{};     ///< For the answers, once the batch is sent.
 
   auto operator<=>(const Batch &) const = default;
 };
@@ -42,16 +43,16 @@
 };
 
 enum class BatchEnd : std::uint8_t {
-  Whole,  ///< Every statement was answered.
-  NotRun, ///< Nothing was sent.
-  Lost,   ///< The connection broke or timed out; answers so far are valid.
+  Complete, ///< Every statement was answered.
+  NotRun,   ///< Nothing was sent.
+  Lost,     ///< The connection broke or timed out; answers so far are valid.
 };
 
 struct BatchResult {
   BatchEnd End = BatchEnd::NotRun;
   std::vector<Answer> Answers; ///< In the order of the statements.
-  StatementError Why;          ///< Unless every statement was answered.
-  bool Kept = false;           ///< The lease continues.
+  StatementError Error;        ///< Unless every statement was answered.
+  bool LeaseKept = false;      ///< The lease continues.
   /// The batch failed because the target or its connection holder did not
   /// answer.
   bool TargetUnreachable = false;
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -132,7 +132,7 @@
   it.Retries->Add({{"reason", why}}).Increment();
 }
 
-void countWait(ProxyMetrics &it, WaitPlace place, Duration waited) {
+void countWait(ProxyMetrics &it, WaitReason place, Duration waited) {
   it.Waits[static_cast<std::size_t>(place)]->Observe(secondsOf(waited));
 }
 
@@ -165,11 +165,11 @@
       .Increment();
 }
 
-void countCopyBytes(ProxyMetrics &it, const std::string &kind, CopyFlow flow,
-                    std::size_t bytes) {
+void countSnapshotBytes(ProxyMetrics &it, const std::string &kind,
+                        SnapshotFlow flow, std::size_t bytes) {
   it.SnapshotBytes
       ->Add({{"kind", kind},
-             {"flow", flow == CopyFlow::Sent ? "sent" : "received"}})
+             {"flow", flow == SnapshotFlow::Sent ? "sent" : "received"}})
       .Increment(static_cast<double>(bytes));
 }
 
@@ -183,8 +183,8 @@
   set("waiting_for_connection", static_cast<double>(now.Waiting));
   set("daemons_alive", static_cast<double>(now.Members));
   set("configuration_version", static_cast<double>(now.Version));
-  set("holds_failover_duty", now.HoldsDuty ? 1 : 0);
-  set("store_kinds_lost", static_cast<double>(now.KindsLost));
+  set("holds_failover_duty", now.IsFailoverLeader ? 1 : 0);
+  set("store_kinds_lost", static_cast<double>(now.KindsUnavailable));
   set("log_lines_dropped", static_cast<double>(now.DroppedLines));
   for (const auto &age : now.StoreAges)
     it.StoreAge->Add({{"kind", age.Kind}}).Set(secondsOf(age.Age));
--- a/src/proxy/metrics.h
+++ b/src/proxy/metrics.h
@@ -29,7 +29,7 @@
 inline constexpr std::size_t Guarantees = 3;
 
 /// What a statement waits for before it is sent to a target.
-enum class WaitPlace : std::uint8_t {
+enum class WaitReason : std::uint8_t {
   Primary,    ///< A primary that is known and reachable.
   Replica,    ///< A replica that has caught up with what the read must see.
   Slot,       ///< A free slot, after the target refused because of load.
@@ -51,7 +51,7 @@
 
 /// Direction of a snapshot of the store's objects. Snapshots are sent to other
 /// daemons, and received from them or from the store.
-enum class CopyFlow : std::uint8_t { Sent, Received };
+enum class SnapshotFlow : std::uint8_t { Sent, Received };
 
 /// Time since the store last answered for a kind of objects.
 struct StoreAge {
@@ -69,9 +69,9 @@
   std::size_t Waiting = 0;
   std::size_t Members = 0;
   std::uint64_t Version = 0; ///< Of the current configuration.
-  bool HoldsDuty = false;
+  bool IsFailoverLeader = false;
   /// Kinds of objects for which the store does not answer.
-  std::size_t KindsLost = 0;
+  std::size_t KindsUnavailable = 0;
   std::vector<StoreAge> StoreAges;
   std::uint64_t DroppedLines = 0;
 };
@@ -110,7 +110,7 @@
                     Duration took);
 void countRefusal(ProxyMetrics &it, const std::string &why, Duration waited);
 void countRetry(ProxyMetrics &it, const std::string &why);
-void countWait(ProxyMetrics &it, WaitPlace place, Duration waited);
+void countWait(ProxyMetrics &it, WaitReason place, Duration waited);
 /// \param error of the target's answer; empty for a success.
 void countAnswer(ProxyMetrics &it, const std::optional<StatementError> &error);
 /// Counts a statement that was sent to a target and not answered.
@@ -120,8 +120,8 @@
 void countChangePart(ProxyMetrics &it, ChangePart part, Duration took);
 void countStoreCall(ProxyMetrics &it, const std::string &kind, StoreCall call,
                     bool answered);
-void countCopyBytes(ProxyMetrics &it, const std::string &kind, CopyFlow flow,
-                    std::size_t bytes);
+void countSnapshotBytes(ProxyMetrics &it, const std::string &kind,
+                        SnapshotFlow flow, std::size_t bytes);
 
 /// \return the metrics in the Prometheus text format, with event counts.
 std::string writeText(ProxyMetrics &it, const ProxyGauges &now);
--- a/src/proxy/mirror.cpp
+++ b/src/proxy/object_cache.cpp
@@ -1,4 +1,4 @@
-#include "proxy/mirror.h"
+#include "proxy/object_cache.h"
 
 #include "telemetry/events.h"
 
@@ -10,32 +10,33 @@
 using telemetry::Event;
 using telemetry::field;
 
-platform::BackoffOptions returnBackoff(double readsPerSecond) {
+platform::BackoffOptions recoveryBackoff(double readsPerSecond) {
   double rate = std::max(readsPerSecond * limits::RecoveryRateShare, 1.0);
   std::chrono::duration<double> span(limits::FleetSize *
                                      limits::KindsPerDaemon / rate);
   platform::BackoffOptions out;
-  out.Longest = std::max(Duration(limits::MinLongestPause),
-                         std::chrono::duration_cast<Duration>(span));
+  out.MaxDelay = std::max(Duration(limits::MinLongestPause),
+                          std::chrono::duration_cast<Duration>(span));
   return out;
 }
 
-milliseconds freshFor(milliseconds limit) {
+milliseconds maxCacheAge(milliseconds limit) {
   auto span = limit - limits::WatchSlack - limits::RecoveryReserve;
   return std::max(span, limits::MinWatchWait);
 }
 
-milliseconds watchWait(milliseconds limit) {
-  return std::min(freshFor(limit), limits::WatchWait);
+milliseconds maxWatchWait(milliseconds limit) {
+  return std::min(maxCacheAge(limit), limits::WatchWait);
 }
 
-Mirror::Mirror(MirrorOptions options, ObjectSource &source, const Clock &clock)
+ObjectCache::ObjectCache(ObjectCacheOptions options, ObjectSource &source,
+                         const Clock &clock)
     : Options(std::move(options)), Source(source), Time(clock),
       Pause(Options.Backoff, Options.Seed), ConfirmedAt(clock.now()) {}
 
-void Mirror::start() { refresh(); }
+void ObjectCache::start() { refresh(); }
 
-void Mirror::refresh(std::function<void()> done) {
+void ObjectCache::refresh(std::function<void()> done) {
   if (done)
     RefreshCallbacks.push_back(std::move(done));
   ++Round;
@@ -45,20 +46,21 @@
   startList();
 }
 
-void Mirror::startList() {
+void ObjectCache::startList() {
   ++ListsPending;
   // After an outage the list replaces a watch, which is not hedged either.
-  if (!Current && !(EverCurrent && Options.ListOnReturn))
+  if (!Current && !(EverCurrent && Options.ListAfterOutage))
     retryAfter(limits::HedgeDelay);
   listPage(std::make_shared<Listing>(), "");
 }
 
-void Mirror::retryAfter(Duration pause) {
+void ObjectCache::retryAfter(Duration pause) {
   auto at = Time.now() + pause;
   NextAttempt = std::min(NextAttempt.value_or(at), at);
 }
 
-void Mirror::listPage(const ListingPtr &listing, const std::string &after) {
+void ObjectCache::listPage(const ListingPtr &listing,
+                           const std::string &after) {
   Source.list(Options.Kind, after, limits::ListTimeout,
               [this, listing, round = Round](ObjectPage page) {
                 if (round == Round)
@@ -66,7 +68,7 @@
               });
 }
 
-void Mirror::handlePage(const ListingPtr &listing, ObjectPage page) {
+void ObjectCache::handlePage(const ListingPtr &listing, ObjectPage page) {
   if (page.Outcome != ReadOutcome::Done) {
     --ListsPending;
     handleUnavailable();
@@ -89,7 +91,7 @@
     handleList(std::move(*listing));
 }
 
-void Mirror::handleList(Listing listing) {
+void ObjectCache::handleList(Listing listing) {
   // Answers of other pending lists are ignored.
   ++Round;
   ListsPending = 0;
@@ -115,7 +117,8 @@
   startWatch();
 }
 
-bool Mirror::applySnapshot(const Objects &objects, std::uint64_t revision) {
+bool ObjectCache::applySnapshot(const Objects &objects,
+                                std::uint64_t revision) {
   if (Current || revision <= Revision)
     return false;
   for (const auto &[name, it] : Cached)
@@ -128,12 +131,12 @@
   return true;
 }
 
-void Mirror::endRefresh() {
+void ObjectCache::endRefresh() {
   for (auto &it : std::exchange(RefreshCallbacks, {}))
     it();
 }
 
-void Mirror::startWatch() {
+void ObjectCache::startWatch() {
   Source.watch(Options.Kind, Revision,
                Current ? Options.WatchWait : limits::OutageWatchWait,
                [this, round = Round](const ObjectChanges &changes) {
@@ -142,7 +145,7 @@
                });
 }
 
-void Mirror::handleChanges(const ObjectChanges &changes) {
+void ObjectCache::handleChanges(const ObjectChanges &changes) {
   if (changes.Outcome == ReadOutcome::Gone) {
     refresh();
     return;
@@ -171,7 +174,8 @@
     startWatch();
 }
 
-void Mirror::recordDeletion(const std::string &name, std::uint64_t revision) {
+void ObjectCache::recordDeletion(const std::string &name,
+                                 std::uint64_t revision) {
   Deletions.emplace_back(name, revision);
   if (Deletions.size() <= limits::MaxDeletions)
     return;
@@ -179,7 +183,7 @@
   Deletions.pop_front();
 }
 
-ObjectChanges Mirror::changesSince(std::uint64_t revision) const {
+ObjectChanges ObjectCache::changesSince(std::uint64_t revision) const {
   ObjectChanges out;
   out.Outcome = ReadOutcome::Gone;
   if (revision < DeletionsSince)
@@ -196,19 +200,19 @@
   return out;
 }
 
-void Mirror::remove(const std::string &name) {
+void ObjectCache::remove(const std::string &name) {
   if (GraceUntil && Cached.contains(name))
     RetainedMissing.insert(name);
   else
     Cached.erase(name);
 }
 
-void Mirror::handleUnavailable() {
+void ObjectCache::handleUnavailable() {
   if (Current || Pause.failures() == 0)
     telemetry::log(Event::StoreLost, {field("kind", Options.Kind)});
   Current = false;
-  MustList = MustList || Options.ListOnReturn;
-  retryAfter(Pause.failed());
+  MustList = MustList || Options.ListAfterOutage;
+  retryAfter(Pause.nextDelay());
   endRefresh();
 }
 
@@ -216,25 +220,25 @@
 /// targets expire: without it no target is known on return, and every request
 /// is rejected. The writers return within a known time; an entry that is still
 /// missing after it is deleted.
-void Mirror::handleAvailable(TimePoint confirmedAt) {
+void ObjectCache::handleAvailable(TimePoint confirmedAt) {
   ConfirmedAt = std::max(ConfirmedAt, confirmedAt);
   auto failures = Pause.failures();
-  Pause.succeeded();
+  Pause.reset();
   if (Current)
     return;
   Current = true;
   if (EverCurrent) {
     telemetry::log(Event::StoreRegained,
                    {field("kind", Options.Kind), field("failures", failures)});
-    if (Options.KeepWhileAway)
+    if (Options.KeepAfterOutage)
       GraceUntil = Time.now() + limits::RecoveryGrace;
-    if (OnRegained)
-      OnRegained();
+    if (OnAvailable)
+      OnAvailable();
   }
   EverCurrent = true;
 }
 
-void Mirror::reportAge(TimePoint now) {
+void ObjectCache::reportAge(TimePoint now) {
   auto age = now - ConfirmedAt;
   bool old = Options.ReportAge.count() > 0 && age > Options.ReportAge;
   if (old == std::exchange(Unconfirmed, old))
@@ -246,7 +250,7 @@
        field("call_pending", Current ? "yes" : "no")});
 }
 
-void Mirror::tick() {
+void ObjectCache::tick() {
   auto now = Time.now();
   reportAge(now);
   if (NextAttempt && now >= *NextAttempt) {
@@ -268,7 +272,7 @@
     publish();
 }
 
-void Mirror::publish() {
+void ObjectCache::publish() {
   if (OnChange)
     OnChange(Cached);
 }
--- a/src/proxy/mirror.h
+++ b/src/proxy/object_cache.h
@@ -2,8 +2,8 @@
 /// Cache of all store objects of one kind, kept up to date by listing and
 /// watching. Decides when to call; an ObjectSource makes the calls.
 
-#ifndef PERIDOTFALL_PROXY_MIRROR_H
-#define PERIDOTFALL_PROXY_MIRROR_H
+#ifndef PERIDOTFALL_PROXY_OBJECT_CACHE_H
+#define PERIDOTFALL_PROXY_OBJECT_CACHE_H
 
 #include "http/message.h"
 #include "peridotfall/clock.h"
@@ -44,7 +44,7 @@
 /// seen at once, the changes that follow it in one call.
 inline constexpr milliseconds TargetChangePause{200};
 /// The same for the daemons' own objects; probes also detect who is alive.
-inline constexpr milliseconds OwnChangePause{1'000};
+inline constexpr milliseconds DaemonChangePause{1'000};
 /// Wait of a watch while the store is unavailable: a watch sent during an
 /// outage is never answered.
 inline constexpr milliseconds OutageWatchWait{1'000};
@@ -119,7 +119,7 @@
 /// their lists would use up its rate, and some would wait for seconds. The
 /// longest pause spreads the lists so that a quarter of the rate serves all.
 /// \param readsPerSecond rate that the store answers.
-platform::BackoffOptions returnBackoff(double readsPerSecond);
+platform::BackoffOptions recoveryBackoff(double readsPerSecond);
 
 using Objects = std::map<std::string, StoredObject>;
 
@@ -127,21 +127,21 @@
 /// \return the greatest age of cached objects at which a call that would
 /// confirm them may still be pending, so that a missing answer is noticed in
 /// time for another call.
-milliseconds freshFor(milliseconds limit);
+milliseconds maxCacheAge(milliseconds limit);
 /// \param limit time within which a change must take effect.
 /// \return the longest wait of a watch for such changes.
-milliseconds watchWait(milliseconds limit);
+milliseconds maxWatchWait(milliseconds limit);
 
-struct MirrorOptions {
+struct ObjectCacheOptions {
   std::string Kind;
   platform::BackoffOptions Backoff;
   std::uint64_t Seed = 1; ///< Of the backoff.
   /// Keeps objects that disappear around an outage of the store until their
   /// writers have had time to write them again.
-  bool KeepWhileAway = false;
+  bool KeepAfterOutage = false;
   /// Lists the objects after an outage, because a watch would return each
   /// version written since. For kinds with few, large, often changed objects.
-  bool ListOnReturn = false;
+  bool ListAfterOutage = false;
   milliseconds WatchWait = limits::WatchWait;
   milliseconds ChangePause{0}; ///< Before the watch that follows a change.
   /// Age of the last confirmation by the store beyond which the cache is
@@ -150,12 +150,13 @@
 };
 
 /// Not thread-safe.
-class Mirror {
+class ObjectCache {
 public:
-  Mirror(MirrorOptions options, ObjectSource &source, const Clock &clock);
+  ObjectCache(ObjectCacheOptions options, ObjectSource &source,
+              const Clock &clock);
 
   /// Called when the store answers again after an outage.
-  std::function<void()> OnRegained;
+  std::function<void()> OnAvailable;
   /// Called whenever the cached objects have changed.
   std::function<void(const Objects &)> OnChange;
 
@@ -205,7 +206,7 @@
   void publish();
   void endRefresh();
 
-  MirrorOptions Options;
+  ObjectCacheOptions Options;
   ObjectSource &Source;
   const Clock &Time;
   platform::Backoff Pause;
@@ -229,4 +230,4 @@
 
 } // namespace peridotfall::proxy
 
-#endif // PERIDOTFALL_PROXY_MIRROR_H
+#endif // PERIDOTFALL_PROXY_OBJECT_CACHE_H
--- a/src/proxy/object_packer.cpp
+++ b/src/proxy/object_packer.cpp
@@ -7,21 +7,21 @@
 
 namespace peridotfall::proxy {
 
-using messages::HeldObject;
+using messages::CachedObjectId;
 using messages::PackedSpec;
 using telemetry::Event;
 using telemetry::field;
 
-std::vector<HeldObject> largeObjects(const Objects &it) {
-  std::vector<HeldObject> out;
+std::vector<CachedObjectId> largeObjects(const Objects &it) {
+  std::vector<CachedObjectId> out;
   for (const auto &[name, object] : it)
     if (object.Spec.size() >= limits::MinPackedSize)
       out.push_back({name, object.Revision});
   return out;
 }
 
-messages::FindHeld findSpecIn(const Mirror &cache) {
-  return [&cache](const HeldObject &it) -> const std::string * {
+messages::FindCachedSpec findSpecIn(const ObjectCache &cache) {
+  return [&cache](const CachedObjectId &it) -> const std::string * {
     auto object = cache.objects().find(it.Name);
     bool isHeld = object != cache.objects().end() &&
                   object->second.Revision == it.Revision;
@@ -30,7 +30,7 @@
 }
 
 messages::PackSpec ObjectPacker::packerFor(std::string kind,
-                                           std::vector<HeldObject> held) {
+                                           std::vector<CachedObjectId> held) {
   return [this, kind = std::move(kind), held = std::move(held)](
              const StoredObject &it) { return pack(kind, it, held); };
 }
@@ -47,17 +47,17 @@
 
 const ObjectPacker::Version *
 ObjectPacker::findBase(const SentObject &sent, const std::string &name,
-                       const std::vector<HeldObject> &held) {
+                       const std::vector<CachedObjectId> &held) {
   for (const auto &it : sent.Versions)
-    if (std::find(held.begin(), held.end(), HeldObject{name, it.Revision}) !=
-        held.end())
+    if (std::find(held.begin(), held.end(),
+                  CachedObjectId{name, it.Revision}) != held.end())
       return &it;
   return nullptr;
 }
 
 std::optional<PackedSpec>
 ObjectPacker::pack(const std::string &kind, const StoredObject &object,
-                   const std::vector<HeldObject> &held) {
+                   const std::vector<CachedObjectId> &held) {
   if (object.Deleted || object.Spec.size() < limits::MinPackedSize)
     return std::nullopt;
   auto &sent = SentObjects[{kind, object.Name}];
--- a/src/proxy/object_packer.h
+++ b/src/proxy/object_packer.h
@@ -5,8 +5,8 @@
 #ifndef PERIDOTFALL_PROXY_OBJECT_PACKER_H
 #define PERIDOTFALL_PROXY_OBJECT_PACKER_H
 
-#include "messages/copy.h"
-#include "proxy/mirror.h"
+#include "messages/snapshot.h"
+#include "proxy/object_cache.h"
 
 #include <deque>
 #include <map>
@@ -28,9 +28,9 @@
 } // namespace limits
 
 /// \return the large objects, which a daemon lists as held in its requests.
-std::vector<messages::HeldObject> largeObjects(const Objects &it);
+std::vector<messages::CachedObjectId> largeObjects(const Objects &it);
 /// \param cache must outlive the result.
-messages::FindHeld findSpecIn(const Mirror &cache);
+messages::FindCachedSpec findSpecIn(const ObjectCache &cache);
 
 /// Packs the specs that this daemon sends. Keeps the recently sent versions of
 /// large objects and a compressed frame for each version that a receiver had.
@@ -40,10 +40,10 @@
   /// \param held objects that the receiver has.
   /// \return valid only while this object is.
   messages::PackSpec packerFor(std::string kind,
-                               std::vector<messages::HeldObject> held);
+                               std::vector<messages::CachedObjectId> held);
   std::optional<messages::PackedSpec>
   pack(const std::string &kind, const StoredObject &object,
-       const std::vector<messages::HeldObject> &held);
+       const std::vector<messages::CachedObjectId> &held);
 
 private:
   struct Version {
@@ -58,9 +58,9 @@
   };
 
   static void recordVersion(SentObject &sent, const StoredObject &object);
-  static const Version *findBase(const SentObject &sent,
-                                 const std::string &name,
-                                 const std::vector<messages::HeldObject> &held);
+  static const Version *
+  findBase(const SentObject &sent, const std::string &name,
+           const std::vector<messages::CachedObjectId> &held);
 
   /// By kind and name.
   std::map<std::pair<std::string, std::string>, SentObject> SentObjects;
--- a/src/proxy/own_record.cpp
+++ b/src/proxy/own_record.cpp
@@ -2,7 +2,7 @@
 
 namespace peridotfall::proxy {
 
-bool OwnRecord::takeListed(std::optional<std::uint64_t> listed) {
+bool OwnRecord::handleListed(std::optional<std::uint64_t> listed) {
   if (!listed) {
     Written = false;
     return false;
--- a/src/proxy/own_record.h
+++ b/src/proxy/own_record.h
@@ -35,7 +35,7 @@
   /// \return whether the incarnation changed. The wall clock may have gone back
   /// since the last start on this VM, and other daemons ignore what an older
   /// incarnation reports.
-  bool takeListed(std::optional<std::uint64_t> listed);
+  bool handleListed(std::optional<std::uint64_t> listed);
   /// \return whether to write the object now.
   /// \param listCurrent whether the store answers.
   bool isDue(bool listCurrent, TimePoint now) const;
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr int StatusOk = 200;
-constexpr int StatusBad = 400;
+constexpr int StatusBadRequest = 400;
 constexpr int StatusNone = 404;
 
 } // namespace
@@ -21,8 +21,8 @@
     : Links(channels), Targets(groups), Time(clock),
       View(self, MembershipOptions{}, self.Incarnation) {}
 
-void Peers::takeList(const std::vector<Member> &list) {
-  View.takeList(list, Time.now());
+void Peers::updateMembers(const std::vector<Member> &list) {
+  View.updateList(list, Time.now());
   publish();
 }
 
@@ -39,10 +39,10 @@
 }
 
 std::string Peers::gossipFor(const VmName &vm) {
-  messages::News gossip;
+  messages::GossipMessage gossip;
   gossip.From = View.self();
-  gossip.Members = View.recent(Time.now(), limits::MaxGossipMembers);
-  for (auto &it : View.about(vm))
+  gossip.Members = View.recentChanges(Time.now(), limits::MaxGossipMembers);
+  for (auto &it : View.recordsAbout(vm))
     gossip.Members.push_back(std::move(it));
   return messages::encode(gossip);
 }
@@ -53,18 +53,18 @@
   auto done = [this, member](const http::CallResult &result) {
     auto now = Time.now();
     bool answered = result && result.value().Status == StatusOk;
-    auto gossip = answered ? messages::decodeNews(result.value().Body)
-                           : Result<messages::News>(Error{});
+    auto gossip = answered ? messages::decodeGossip(result.value().Body)
+                           : Result<messages::GossipMessage>(Error{});
     if (!gossip) {
-      View.takeMiss(member, now);
+      View.handleMiss(member, now);
       Links.drop(member.InnerAddress);
     } else {
-      View.takeAnswer(member, gossip.value().From, now);
-      View.takeNews(gossip.value().Members, now);
+      View.handleAnswer(member, gossip.value().From, now);
+      View.handleGossip(gossip.value().Members, now);
     }
     publish();
   };
-  Links.call(member.InnerAddress, messages::NewsPath, gossipFor(member.Vm),
+  Links.call(member.InnerAddress, messages::GossipPath, gossipFor(member.Vm),
              limits::ProbeTimeout, done);
 }
 
@@ -82,9 +82,9 @@
 void Peers::leave() { View.leave(Time.now()); }
 
 void Peers::handle(const http::Request &request, const http::Respond &respond) {
-  if (request.Path == messages::NewsPath)
+  if (request.Path == messages::GossipPath)
     answerGossip(request, respond);
-  else if (request.Path == messages::LeadViewPath)
+  else if (request.Path == messages::LeaderViewPath)
     answerLeaderQuery(request, respond);
   else
     respond({StatusNone, {}, {}});
@@ -92,46 +92,46 @@
 
 void Peers::answerGossip(const http::Request &request,
                          const http::Respond &respond) {
-  auto gossip = messages::decodeNews(request.Body);
+  auto gossip = messages::decodeGossip(request.Body);
   if (!gossip) {
-    respond({StatusBad, {}, gossip.error().Message});
+    respond({StatusBadRequest, {}, gossip.error().Message});
     return;
   }
   auto now = Time.now();
-  View.takeContact(gossip.value().From, now);
-  View.takeNews(gossip.value().Members, now);
-  respond({StatusOk, {}, gossipFor(gossip.value().From.It.Vm)});
+  View.handleContact(gossip.value().From, now);
+  View.handleGossip(gossip.value().Members, now);
+  respond({StatusOk, {}, gossipFor(gossip.value().From.Info.Vm)});
   publish();
 }
 
 void Peers::answerLeaderQuery(const http::Request &request,
                               const http::Respond &respond) {
-  auto query = messages::decodeLeadQuestion(request.Body);
+  auto query = messages::decodeLeaderQuery(request.Body);
   if (!query) {
-    respond({StatusBad, {}, query.error().Message});
+    respond({StatusBadRequest, {}, query.error().Message});
     return;
   }
-  messages::LeadView out;
-  auto *group = Targets.use(query.value().Group);
-  out.Known = group && !group->Targets.empty();
-  if (out.Known) {
-    auto proof = group->View.lastProof();
-    out.Reaches = !group->LeaderMissing && proof &&
-                  Time.now() - *proof <= limits::ReachableWithin;
+  messages::LeaderView out;
+  auto *group = Targets.markUsed(query.value().Group);
+  out.GroupKnown = group && !group->Targets.empty();
+  if (out.GroupKnown) {
+    auto proof = group->View.lastConfirmed();
+    out.PrimaryReachable = !group->LeaderMissingSince && proof &&
+                           Time.now() - *proof <= limits::ReachableWithin;
   }
   respond({StatusOk, {}, messages::encode(out)});
 }
 
-void Peers::askLead(const GroupName &group,
-                    std::function<void(PeerEvidence)> done) {
+void Peers::queryLeader(const GroupName &group,
+                        std::function<void(PeerReports)> done) {
   struct Poll {
     std::size_t Left = 0;
-    PeerEvidence Reports;
+    PeerReports Reports;
   };
   auto poll = std::make_shared<Poll>();
   std::vector<std::string> addresses;
   for (const auto &it : View.live())
-    if (it.Vm != View.self().It.Vm && !it.InnerAddress.empty() &&
+    if (it.Vm != View.self().Info.Vm && !it.InnerAddress.empty() &&
         addresses.size() < limits::MaxPeersQueried)
       addresses.push_back(it.InnerAddress);
   poll->Left = addresses.size();
@@ -139,20 +139,20 @@
     done({});
     return;
   }
-  auto body = messages::encode(messages::LeadQuestion{group});
+  auto body = messages::encode(messages::LeaderQuery{group});
   for (const auto &address : addresses) {
     auto handleResult = [poll, done](const http::CallResult &result) {
       if (result && result.value().Status == StatusOk) {
-        auto view = messages::decodeLeadView(result.value().Body);
-        if (view && view.value().Known) {
+        auto view = messages::decodeLeaderView(result.value().Body);
+        if (view && view.value().GroupKnown) {
           ++poll->Reports.Answered;
-          poll->Reports.Reach += view.value().Reaches;
+          poll->Reports.Reachable += view.value().PrimaryReachable;
         }
       }
       if (--poll->Left == 0)
         done(poll->Reports);
     };
-    Links.call(address, messages::LeadViewPath, body,
+    Links.call(address, messages::LeaderViewPath, body,
                limits::LeaderQueryTimeout, handleResult);
   }
 }
--- a/src/proxy/peers.h
+++ b/src/proxy/peers.h
@@ -6,8 +6,8 @@
 
 #include "http/message.h"
 #include "peridotfall/membership.h"
+#include "proxy/failover_controller.h"
 #include "proxy/relay.h"
-#include "proxy/succession.h"
 
 #include <functional>
 #include <memory>
@@ -39,7 +39,7 @@
   std::function<void(const std::vector<Member> &live)> OnMembers;
 
   /// Updates the membership from the store's list of daemons.
-  void takeList(const std::vector<Member> &list);
+  void updateMembers(const std::vector<Member> &list);
   void tick();
   void leave();
   void raiseIncarnation(std::uint64_t incarnation);
@@ -47,7 +47,8 @@
 
   /// Answers a request of another daemon.
   void handle(const http::Request &request, const http::Respond &respond);
-  void askLead(const GroupName &group, std::function<void(PeerEvidence)> done);
+  void queryLeader(const GroupName &group,
+                   std::function<void(PeerReports)> done);
 
 private:
   void probe(const Member &member);
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int StatusOk = 200;
-constexpr int StatusBad = 400;
+constexpr int StatusBadRequest = 400;
 
 milliseconds toMillis(Duration it) {
   return std::chrono::ceil<milliseconds>(it);
@@ -18,7 +18,7 @@
 
 BatchResult refusal(const char *why, bool unreachable) {
   BatchResult out;
-  out.Why = {ErrorKind::Busy, why};
+  out.Error = {ErrorKind::Busy, why};
   out.TargetUnreachable = unreachable;
   return out;
 }
@@ -61,14 +61,14 @@
                         const LeaseRequest &request, Batch first,
                         OnBatch done) {
   Leases[lease] = {AddressOf(holder), {}, false};
-  auto limit = std::min(request.Wait + first.Patience, request.Total);
+  auto limit = std::min(request.Wait + first.Timeout, request.Total);
   auto body = messages::encode(messages::BeginLease{request, std::move(first)});
   send(lease, messages::BeginLeasePath, std::move(body), toMillis(limit), done);
 }
 
 void RelayClient::run(LeaseId lease, Batch next, OnBatch done) {
   auto there = Leases.at(lease).RemoteId;
-  auto limit = next.Patience;
+  auto limit = next.Timeout;
   auto body = messages::encode(messages::RunLease{there, std::move(next)});
   send(lease, messages::RunLeasePath, std::move(body), toMillis(limit), done);
 }
@@ -103,9 +103,9 @@
     if (!result && !notSent)
       Links.drop(held.Address);
   }
-  if (!out.Kept || held.Abandoned)
+  if (!out.LeaseKept || held.Abandoned)
     Leases.erase(it);
-  if (held.Abandoned && out.Kept)
+  if (held.Abandoned && out.LeaseKept)
     sendAbandon(held.Address, answer.value().Lease);
   if (done && !held.Abandoned)
     done(std::move(out));
@@ -115,7 +115,7 @@
   // If this call is lost, the holder rolls back when the connection closes.
   Links.call(address, messages::AbandonLeasePath,
              messages::encode(messages::AbandonLease{there}),
-             limits::RollbackLimit, [](const http::CallResult &) {});
+             limits::RollbackTimeout, [](const http::CallResult &) {});
 }
 
 void RelayClient::abandon(LeaseId lease) {
@@ -150,7 +150,7 @@
   return [this, connection, lease = std::move(lease),
           respond](BatchResult result) {
     auto held = Leases.find(connection);
-    if (!result.Kept && held != Leases.end())
+    if (!result.LeaseKept && held != Leases.end())
       held->second.erase(*lease);
     respond(
         {StatusOk,
@@ -163,7 +163,7 @@
                         const http::Respond &respond) {
   auto message = messages::decodeBeginLease(request.Body);
   if (!message) {
-    respond({StatusBad, {}, message.error().Message});
+    respond({StatusBadRequest, {}, message.error().Message});
     return;
   }
   auto lease = std::make_shared<LeaseId>();
@@ -183,7 +183,7 @@
                       const http::Respond &respond) {
   auto message = messages::decodeRunLease(request.Body);
   if (!message) {
-    respond({StatusBad, {}, message.error().Message});
+    respond({StatusBadRequest, {}, message.error().Message});
     return;
   }
   auto id = message.value().Lease;
--- a/src/proxy/relay.h
+++ b/src/proxy/relay.h
@@ -45,7 +45,7 @@
   /// \param limit timeout of the whole answer.
   void call(const std::string &address, const char *path, std::string body,
             milliseconds limit, http::OnResult done) {
-    call(address, path, std::move(body), http::wholeWithin(limit),
+    call(address, path, std::move(body), http::totalTimeout(limit),
          std::move(done));
   }
 
--- a/src/proxy/sessions.cpp
+++ b/src/proxy/sessions.cpp
@@ -17,9 +17,9 @@
                    const Clock &clock)
     : Targets(groups), Port(port), Metrics(metrics), Time(clock),
       RoutesConfirmedAt(clock.now()) {
-  Targets.OnLeader = [this](const GroupName &group) { resume(group); };
+  Targets.OnLeaderKnown = [this](const GroupName &group) { resume(group); };
   Targets.OnWaited = [this](Duration waited) {
-    countWait(Metrics, WaitPlace::Connection, waited);
+    countWait(Metrics, WaitReason::Connection, waited);
   };
 }
 
@@ -28,7 +28,7 @@
   return it == All.end() ? nullptr : &it->second;
 }
 
-bool Sessions::takeRoutes(const RoutingTable &table) {
+bool Sessions::applyRoutes(const RoutingTable &table) {
   // A list may be read late. Going back to an older version would route
   // sessions by a configuration that an operator has replaced.
   if (table.Version <= Table.Version)
@@ -66,7 +66,7 @@
     return;
   }
   session.HandshakeDone = true;
-  Port.greet(id);
+  Port.completeHandshake(id);
   advance(session);
 }
 
@@ -94,7 +94,7 @@
     const auto &run = *session.Current;
     auto *group = Targets.find(run.AssignedRoute.Group);
     if (run.InFlight && group)
-      group->Reads.dropped(run.Target);
+      group->ReadPlacement.dropped(run.Target);
     releaseLease(run.Lease);
   }
   if (session.State != TransactionState::Idle)
--- a/src/proxy/sessions.h
+++ b/src/proxy/sessions.h
@@ -64,7 +64,7 @@
 class CallerPort {
 public:
   virtual ~CallerPort() = default;
-  virtual void greet(CallerId caller) = 0;
+  virtual void completeHandshake(CallerId caller) = 0;
   virtual void answer(CallerId caller, const Answer &answer) = 0;
   /// Reports an error that belongs to no statement and ends the session.
   virtual void reject(CallerId caller, const StatementError &why) = 0;
@@ -79,7 +79,7 @@
 
   /// \return whether \p table was applied; one that is not newer than the
   /// current table is ignored.
-  bool takeRoutes(const RoutingTable &table);
+  bool applyRoutes(const RoutingTable &table);
   const RoutingTable &routes() const { return Table; }
   /// \param at when the store last confirmed that the routes are current.
   void confirmRoutes(TimePoint at) { RoutesConfirmedAt = at; }
@@ -124,7 +124,7 @@
     bool Parked = false;            ///< Waiting for a primary.
     std::optional<TimePoint> RunAt; ///< Waiting for a replica or a slot.
     std::optional<TimePoint> WaitingSince;
-    WaitPlace WaitingFor = WaitPlace::Primary;
+    WaitReason WaitingFor = WaitReason::Primary;
     TargetName Avoid;
     TargetName Target;
     LeaseId Lease;
@@ -135,8 +135,8 @@
     CallerId Id;
     DatabaseName Database;
     bool HandshakeDone = false;
-    Values Set;
-    std::map<std::string, Prepared> PreparedStatements;
+    SessionValues Set;
+    std::map<std::string, PreparedStatement> PreparedStatements;
     TransactionState State = TransactionState::Idle;
     Transaction Open; ///< Valid unless State is Idle.
     Position LastCommit;
@@ -168,8 +168,8 @@
   static TimePoint primaryWaitDeadline(const StatementRun &run);
   void park(Session &session);
   /// Places the statement again at \p until.
-  void pause(StatementRun &run, WaitPlace place, TimePoint until);
-  void beginWait(StatementRun &run, WaitPlace place);
+  void pause(StatementRun &run, WaitReason place, TimePoint until);
+  void beginWait(StatementRun &run, WaitReason place);
   void endWait(StatementRun &run);
   void countAnswers(const BatchResult &result);
   void countRead(const StatementRun &run, const Answer &answer);
--- a/src/proxy/shared_watch.cpp
+++ b/src/proxy/shared_watch.cpp
@@ -33,8 +33,8 @@
                    [](const Member &left, const Member &right) {
                      return left.LinkMbps > right.LinkMbps;
                    });
-  if (watchers.size() > limits::WatchersOfDomain)
-    watchers.resize(limits::WatchersOfDomain);
+  if (watchers.size() > limits::WatchersPerDomain)
+    watchers.resize(limits::WatchersPerDomain);
   if (std::any_of(watchers.begin(), watchers.end(),
                   [&](const Member &it) { return it.Vm == self; }))
     return {{}, true};
@@ -49,8 +49,8 @@
     : Store(store), WatcherCalls(watcherCalls), Sentinel(std::move(sentinel)),
       MaxAge(maxAge), Time(clock) {}
 
-void SharedWatch::takeMembers(const VmName &self, const DomainName &domain,
-                              const std::vector<Member> &live) {
+void SharedWatch::updateMembers(const VmName &self, const DomainName &domain,
+                                const std::vector<Member> &live) {
   Plan = planWatches(self, domain, live);
 }
 
@@ -61,7 +61,7 @@
                  {field("kind", line.Kind), field("call", line.Call),
                   field("asked", line.Callee),
                   field("bytes", line.Received.Bytes),
-                  field("transfer_ms", wholeMillis(line.Received.Took)),
+                  field("transfer_ms", wholeMillis(line.Received.Elapsed)),
                   field("waited_ms", wholeMillis(line.Waited))});
 }
 
@@ -72,7 +72,7 @@
                   field("asked", line.Callee),
                   field("waited_ms", wholeMillis(line.Waited)),
                   field("bytes", line.Received.Bytes),
-                  field("transfer_ms", wholeMillis(line.Received.Took)),
+                  field("transfer_ms", wholeMillis(line.Received.Elapsed)),
                   field("age_ms", fresh == ConfirmedAt.end()
                                       ? std::string("-")
                                       : std::to_string(wholeMillis(
@@ -98,7 +98,7 @@
                        milliseconds limit, OnPage done) {
   Store.list(kind, after, limit,
              [this, kind, began = Time.now(), done](ObjectPage page) {
-               page.Age = page.Received.Took;
+               page.Age = page.Received.Elapsed;
                recordStoreCall(kind, "list", began, page);
                done(std::move(page));
              });
@@ -124,7 +124,7 @@
                              milliseconds wait, OnChanges done) {
   Store.watch(kind, revision, storeWait(kind, wait),
               [this, kind, began = Time.now(), done](ObjectChanges changes) {
-                changes.Age = changes.Received.Took;
+                changes.Age = changes.Received.Elapsed;
                 recordStoreCall(kind, "watch", began, changes);
                 done(std::move(changes));
               });
@@ -164,7 +164,7 @@
       OnReceived(kind, reply.Received.Bytes);
     if (it && it->Changes.Outcome != ReadOutcome::Unavailable) {
       auto changes = it->Changes;
-      changes.Age = it->Age + reply.Received.Took;
+      changes.Age = it->Age + reply.Received.Elapsed;
       ConfirmedAt[kind] = std::max(ConfirmedAt[kind], Time.now() - changes.Age);
       logLargeAnswer(line);
       done(changes);
@@ -178,7 +178,7 @@
                      longest + limits::SharedSlack, std::move(answered));
 }
 
-void WatchHost::add(const Mirror &cache, bool sentinel) {
+void WatchHost::add(const ObjectCache &cache, bool sentinel) {
   Caches[cache.kind()] = &cache;
   if (sentinel)
     Sentinel = &cache;
@@ -194,7 +194,7 @@
                      std::move(answer)});
 }
 
-bool WatchHost::isCurrent(const Mirror &cache) const {
+bool WatchHost::isCurrent(const ObjectCache &cache) const {
   return cache.isCurrent() && (!Sentinel || Sentinel->isCurrent());
 }
 
--- a/src/proxy/shared_watch.h
+++ b/src/proxy/shared_watch.h
@@ -5,9 +5,9 @@
 #ifndef PERIDOTFALL_PROXY_SHARED_WATCH_H
 #define PERIDOTFALL_PROXY_SHARED_WATCH_H
 
-#include "messages/copy.h"
+#include "messages/snapshot.h"
 #include "peridotfall/membership.h"
-#include "proxy/mirror.h"
+#include "proxy/object_cache.h"
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 
 /// Daemons of a failure domain that watch the store. With only one, its loss
 /// would send all others to the store at once.
-inline constexpr std::size_t WatchersOfDomain = 2;
+inline constexpr std::size_t WatchersPerDomain = 2;
 /// Daemons of a failure domain from which on sharing saves calls.
 inline constexpr std::size_t MinSharingDaemons = 5;
 /// Longest wait of a watch at another daemon.
@@ -96,8 +96,8 @@
   /// Called after each call of the store.
   std::function<void(const std::string &kind, bool answered)> OnStoreCall;
 
-  void takeMembers(const VmName &self, const DomainName &domain,
-                   const std::vector<Member> &live);
+  void updateMembers(const VmName &self, const DomainName &domain,
+                     const std::vector<Member> &live);
   void list(const std::string &kind, const std::string &after,
             milliseconds limit, OnPage done) override;
   void watch(const std::string &kind, std::uint64_t revision, milliseconds wait,
@@ -136,7 +136,7 @@
   /// \param cache must outlive this.
   /// \param sentinel whether this cache detects an outage of the store for all
   /// kinds.
-  void add(const Mirror &cache, bool sentinel = false);
+  void add(const ObjectCache &cache, bool sentinel = false);
   void begin(const messages::WatchRequest &request, Answer answer);
   /// Answers the watches that have changes or have waited long enough, and all
   /// of them while the store is unavailable.
@@ -144,18 +144,18 @@
 
 private:
   struct PendingWatch {
-    const Mirror *Of = nullptr;
+    const ObjectCache *Of = nullptr;
     std::uint64_t NewerThan = 0;
     TimePoint Until;
     Answer Done;
   };
-  bool isCurrent(const Mirror &cache) const;
+  bool isCurrent(const ObjectCache &cache) const;
   bool isDue(const PendingWatch &it, TimePoint now) const;
   void answer(const PendingWatch &it, TimePoint now) const;
 
   const Clock &Time;
-  std::map<std::string, const Mirror *> Caches;
-  const Mirror *Sentinel = nullptr;
+  std::map<std::string, const ObjectCache *> Caches;
+  const ObjectCache *Sentinel = nullptr;
   std::vector<PendingWatch> Waiting;
 };
 
--- a/src/proxy/copies.cpp
+++ b/src/proxy/snapshot_exchange.cpp
@@ -1,6 +1,6 @@
-#include "proxy/copies.h"
+#include "proxy/snapshot_exchange.h"
 
-#include "messages/copy.h"
+#include "messages/snapshot.h"
 #include "proxy/shared_watch.h"
 #include "telemetry/events.h"
 
@@ -12,18 +12,19 @@
 namespace {
 
 constexpr int StatusOk = 200;
-constexpr int StatusBad = 400;
+constexpr int StatusBadRequest = 400;
 
 } // namespace
 
-void Copies::takeMembers(const VmName &self, const std::vector<Member> &live) {
+void SnapshotExchange::updateMembers(const VmName &self,
+                                     const std::vector<Member> &live) {
   Addresses.clear();
   for (const auto &it : live)
     if (it.Vm != self && !it.InnerAddress.empty())
       Addresses.push_back(it.InnerAddress);
 }
 
-void Copies::tick() {
+void SnapshotExchange::tick() {
   auto now = Time.now();
   if (now < NextRequest || Addresses.empty())
     return;
@@ -37,9 +38,9 @@
 /// daemons they would otherwise keep an old configuration and old targets while
 /// the others have newer ones. One random daemon at a time spreads a change
 /// over any number of daemons.
-void Copies::requestSnapshot(Mirror &cache) {
+void SnapshotExchange::requestSnapshot(ObjectCache &cache) {
   std::uniform_int_distribution<std::size_t> pick(0, Addresses.size() - 1);
-  auto body = messages::encode(messages::CopyRequest{
+  auto body = messages::encode(messages::SnapshotRequest{
       cache.kind(), cache.revision(), largeObjects(cache.objects()), true});
   const auto &address = Addresses[pick(Random)];
   Pending.insert(cache.kind());
@@ -49,12 +50,13 @@
     CallRecord line{cache.kind(), "copy", address,
                     result ? result.value().Received : result.error().Received,
                     Time.now() - began};
-    countCopyBytes(Counts, line.Kind, CopyFlow::Received, line.Received.Bytes);
+    countSnapshotBytes(Counts, line.Kind, SnapshotFlow::Received,
+                       line.Received.Bytes);
     logLargeAnswer(line);
     bool answered = result && result.value().Status == StatusOk;
-    auto snapshot = answered ? messages::decodeCopyAnswer(result.value().Body,
-                                                          findSpecIn(cache))
-                             : Result<messages::CopyAnswer>(Error{});
+    auto snapshot = answered ? messages::decodeSnapshotAnswer(
+                                   result.value().Body, findSpecIn(cache))
+                             : Result<messages::SnapshotAnswer>(Error{});
     if (!snapshot)
       telemetry::log(Event::StoreCallUnanswered,
                      {field("kind", line.Kind), field("call", line.Call),
@@ -68,29 +70,29 @@
                       field("objects", snapshot.value().Objects.size()),
                       field("from", address)});
   };
-  Links.call(address, messages::CopyPath, std::move(body),
-             http::beginsWithin(limits::SnapshotTimeout), handleResult);
+  Links.call(address, messages::SnapshotPath, std::move(body),
+             http::firstByteTimeout(limits::SnapshotTimeout), handleResult);
 }
 
-bool Copies::handle(const http::Request &request,
-                    const http::Respond &respond) {
-  if (request.Path != messages::CopyPath)
+bool SnapshotExchange::handle(const http::Request &request,
+                              const http::Respond &respond) {
+  if (request.Path != messages::SnapshotPath)
     return false;
-  auto message = messages::decodeCopyRequest(request.Body);
+  auto message = messages::decodeSnapshotRequest(request.Body);
   if (!message) {
-    respond({StatusBad, {}, message.error().Message});
+    respond({StatusBadRequest, {}, message.error().Message});
     return true;
   }
   const auto &in = message.value();
-  messages::CopyAnswer out;
+  messages::SnapshotAnswer out;
   for (const auto *it : Caches)
     if (it->kind() == in.Kind && it->revision() > in.NewerThan)
       out = {it->revision(), it->objects()};
   messages::PackSpec pack;
-  if (in.TakesPacked)
-    pack = Packer.packerFor(in.Kind, in.Held);
+  if (in.AcceptsPacked)
+    pack = Packer.packerFor(in.Kind, in.Cached);
   auto body = messages::encode(out, pack);
-  countCopyBytes(Counts, in.Kind, CopyFlow::Sent, body.size());
+  countSnapshotBytes(Counts, in.Kind, SnapshotFlow::Sent, body.size());
   respond({StatusOk, {}, std::move(body)});
   return true;
 }
--- a/src/proxy/copies.h
+++ b/src/proxy/snapshot_exchange.h
@@ -2,13 +2,13 @@
 /// Exchange of cached store objects between daemons, for a daemon that the
 /// store rejects or that is cut off from it.
 
-#ifndef PERIDOTFALL_PROXY_COPIES_H
-#define PERIDOTFALL_PROXY_COPIES_H
+#ifndef PERIDOTFALL_PROXY_SNAPSHOT_EXCHANGE_H
+#define PERIDOTFALL_PROXY_SNAPSHOT_EXCHANGE_H
 
 #include "http/message.h"
 #include "peridotfall/membership.h"
 #include "proxy/metrics.h"
-#include "proxy/mirror.h"
+#include "proxy/object_cache.h"
 #include "proxy/object_packer.h"
 #include "proxy/relay.h"
 
@@ -31,29 +31,29 @@
 } // namespace limits
 
 /// All calls on the loop's thread.
-class Copies {
+class SnapshotExchange {
 public:
-  Copies(CallPort &calls, ObjectPacker &packer, ProxyMetrics &counts,
-         const Clock &clock, std::uint64_t seed)
+  SnapshotExchange(CallPort &calls, ObjectPacker &packer, ProxyMetrics &counts,
+                   const Clock &clock, std::uint64_t seed)
       : Links(calls), Packer(packer), Counts(counts), Time(clock),
         Random(seed) {}
 
   /// \param cache must outlive this.
-  void add(Mirror &cache) { Caches.push_back(&cache); }
-  void takeMembers(const VmName &self, const std::vector<Member> &live);
+  void add(ObjectCache &cache) { Caches.push_back(&cache); }
+  void updateMembers(const VmName &self, const std::vector<Member> &live);
   void tick();
   /// \return whether the path belongs to this protocol.
   bool handle(const http::Request &request, const http::Respond &respond);
 
 private:
-  void requestSnapshot(Mirror &cache);
+  void requestSnapshot(ObjectCache &cache);
 
   CallPort &Links;
   ObjectPacker &Packer;
   ProxyMetrics &Counts;
   const Clock &Time;
   std::mt19937_64 Random;
-  std::vector<Mirror *> Caches;
+  std::vector<ObjectCache *> Caches;
   std::set<std::string> Pending; ///< Kinds with a pending request.
   std::vector<std::string> Addresses;
   TimePoint NextRequest{};
@@ -61,4 +61,4 @@
 
 } // namespace peridotfall::proxy
 
-#endif // PERIDOTFALL_PROXY_COPIES_H
+#endif // PERIDOTFALL_PROXY_SNAPSHOT_EXCHANGE_H
--- a/src/proxy/statement.cpp
+++ b/src/proxy/statement.cpp
@@ -2,7 +2,7 @@
 
 namespace peridotfall::proxy {
 
-Statement ownStatement(StatementKind kind) {
+Statement makeProxyStatement(StatementKind kind) {
   Statement it;
   it.Kind = kind;
   return it;
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -33,11 +33,11 @@
 };
 
 /// The body of a prepared statement, without its name.
-struct Prepared {
+struct PreparedStatement {
   bool Writes = false;
   std::string Shape;
 
-  auto operator<=>(const Prepared &) const = default;
+  auto operator<=>(const PreparedStatement &) const = default;
 };
 
 /// A statement from a caller or to a target.
@@ -49,7 +49,7 @@
   std::string Name; ///< Name of a value or a prepared statement.
   /// The value to set, or the argument of an execution.
   std::string Argument;
-  Prepared Body; ///< Of Prepare and, once resolved, Execute.
+  PreparedStatement Body; ///< Of Prepare and, once resolved, Execute.
   /// The target may run it only once its log has reached this position.
   std::optional<Position> NotBefore;
 
@@ -57,7 +57,7 @@
 };
 
 /// \return a statement issued by the proxy itself, which has no id.
-Statement ownStatement(StatementKind kind);
+Statement makeProxyStatement(StatementKind kind);
 /// For Execute, reads and writes depend on the prepared body.
 bool writes(const Statement &it);
 bool reads(const Statement &it);
--- a/src/proxy/session_units.cpp
+++ b/src/proxy/statement_runs.cpp
@@ -84,7 +84,7 @@
   auto &run = *session.Current;
   run.Parked = false;
   run.RunAt.reset();
-  auto *group = Targets.use(run.AssignedRoute.Group);
+  auto *group = Targets.markUsed(run.AssignedRoute.Group);
   if (!group || group->Targets.empty()) {
     park(session);
     return;
@@ -96,7 +96,7 @@
 }
 
 void Sessions::placeAtPrimary(Session &session, Group &group) {
-  auto leader = Targets.writable(group);
+  auto leader = Targets.writablePrimary(group);
   // An unreachable primary is handled like an unknown one: the statement waits.
   if (!leader || Targets.unreachableSince(*leader)) {
     park(session);
@@ -131,13 +131,13 @@
   demand.MaxAge = route.MaxStaleness;
   demand.Avoid = run.Avoid;
   auto choice =
-      group.Reads.choose(demand, Targets.candidates(group), true, now);
+      group.ReadPlacement.choose(demand, Targets.candidates(group), true, now);
   if (choice.Target.empty()) {
     placeAtPrimary(session, group);
     return;
   }
   if (choice.WaitBefore > limits::NegligibleWait) {
-    pause(run, WaitPlace::Replica, now + choice.WaitBefore);
+    pause(run, WaitReason::Replica, now + choice.WaitBefore);
     return;
   }
   sendFirstBatch(session, choice.Target, false, notBefore);
@@ -157,17 +157,17 @@
 void Sessions::park(Session &session) {
   auto &run = *session.Current;
   run.Parked = true;
-  beginWait(run, WaitPlace::Primary);
+  beginWait(run, WaitReason::Primary);
   if (Time.now() >= primaryWaitDeadline(run))
     refuse(session, limits::PrimaryRetryAfter, "no primary to run it");
 }
 
-void Sessions::pause(StatementRun &run, WaitPlace place, TimePoint until) {
+void Sessions::pause(StatementRun &run, WaitReason place, TimePoint until) {
   beginWait(run, place);
   run.RunAt = until;
 }
 
-void Sessions::beginWait(StatementRun &run, WaitPlace place) {
+void Sessions::beginWait(StatementRun &run, WaitReason place) {
   if (run.WaitingSince && run.WaitingFor == place)
     return;
   endWait(run);
@@ -195,11 +195,11 @@
   Batch out;
   out.Session = session.Set;
   if (run.Request.Kind == StatementKind::Execute)
-    out.Needs = {run.Request.Body};
+    out.RequiredPrepared = {run.Request.Body};
   bool provesLeadership = !inTransaction && atPrimary && reads(run.Request);
   if (inTransaction || provesLeadership) {
-    out.Statements = {ownStatement(atPrimary ? StatementKind::Begin
-                                             : StatementKind::BeginRead)};
+    out.Statements = {makeProxyStatement(atPrimary ? StatementKind::Begin
+                                                   : StatementKind::BeginRead)};
     if (!atPrimary)
       out.Statements[0].NotBefore = notBefore;
   }
@@ -212,7 +212,7 @@
     return out;
   out.Statements.push_back(run.Request);
   if (provesLeadership)
-    out.Statements.push_back(ownStatement(StatementKind::Rollback));
+    out.Statements.push_back(makeProxyStatement(StatementKind::Rollback));
   else if (reads(run.Request))
     out.Statements[0].NotBefore = notBefore;
   out.EndsLease = true;
@@ -244,7 +244,7 @@
   auto timeout = std::max<Duration>(
       share(run.AssignedRoute.StatementLimit, limits::ReadTimeoutShare),
       limits::MinReadTimeout);
-  batch.Patience = repeatable ? std::min<Duration>(left, timeout) : left;
+  batch.Timeout = repeatable ? std::min<Duration>(left, timeout) : left;
   // When all callers return at once after an outage, a read that only the
   // primary can run waits as long as a write would. It is then answered late
   // instead of being refused three times in quick succession.
@@ -256,7 +256,7 @@
   run.Sent = batch;
   run.SentAt = now;
   if (auto *group = Targets.find(run.AssignedRoute.Group))
-    group->Reads.started(target);
+    group->ReadPlacement.started(target);
   run.InFlight = true;
   LeaseRequest request;
   request.Target = target;
@@ -287,9 +287,9 @@
   if (!run.Sent.Statements.empty() && run.Sent.Statements[0].NotBefore)
     report.NotBefore = *run.Sent.Statements[0].NotBefore;
   auto replicas = group.Targets.empty() ? 0 : group.Targets.size() - 1;
-  group.Reads.answered(report, replicas, now);
+  group.ReadPlacement.answered(report, replicas, now);
   bool plain = run.Sent.Statements[0].Kind == StatementKind::Begin;
-  Targets.learn(group, run.Target, run.Sent, result, plain, run.SentAt);
+  Targets.handleAnswers(group, run.Target, run.Sent, result, plain, run.SentAt);
 }
 
 bool Sessions::isAtPrimary(const StatementRun &run) const {
@@ -303,7 +303,7 @@
   if (auto *group = Targets.find(run.AssignedRoute.Group))
     report(session, *group, result);
   switch (result.End) {
-  case BatchEnd::Whole:
+  case BatchEnd::Complete:
     handleFirstAnswers(session, result);
     return;
   case BatchEnd::NotRun:
@@ -313,7 +313,7 @@
     if (result.QueueFull && isAtPrimary(run))
       refuse(session, limits::BusyRetryAfter, "more waits than runs in time");
     else
-      retry(session, result.Why.Kind);
+      retry(session, result.Error.Kind);
     return;
   case BatchEnd::Lost:
     run.Lease = {};
@@ -323,12 +323,12 @@
   if (!run.Sent.EndsLease || !writes(run.Request))
     retry(session, ErrorKind::TimedOut);
   else
-    answerUnknownOutcome(session, result.Why.Detail.c_str());
+    answerUnknownOutcome(session, result.Error.Detail.c_str());
 }
 
 void Sessions::handleFirstAnswers(Session &session, const BatchResult &result) {
   auto &run = *session.Current;
-  auto lease = result.Kept ? run.Lease : LeaseId{};
+  auto lease = result.LeaseKept ? run.Lease : LeaseId{};
   bool ownFirst = run.Sent.Statements[0].Id.empty();
   const auto &beginning = result.Answers[0];
   if (ownFirst && !beginning.ok()) {
@@ -372,7 +372,7 @@
   if (!run.Sent.Statements[0].NotBefore)
     Metrics.PrimaryReads->Increment();
   else if (group && answer.At)
-    countReplicaRead(Metrics, group->View.ageOf(*answer.At, Time.now()));
+    countReplicaRead(Metrics, group->View.maxAgeOf(*answer.At, Time.now()));
 }
 
 /// Runs the statement on the connection that its transaction holds.
@@ -383,10 +383,10 @@
   Batch batch;
   batch.Session = session.Set;
   if (run.Request.Kind == StatementKind::Execute)
-    batch.Needs = {run.Request.Body};
+    batch.RequiredPrepared = {run.Request.Body};
   batch.Statements = {run.Request};
   batch.EndsLease = run.Request.Kind == StatementKind::Commit;
-  batch.Patience =
+  batch.Timeout =
       std::max<Duration>(run.Deadline - now, limits::MinAttemptTime);
   run.RunAt.reset();
   run.Sent = batch;
@@ -403,8 +403,9 @@
   bool plain = !session.Open.ReadOnly ||
                session.Open.AssignedRoute.Reads == Guarantee::Primary;
   if (auto *group = Targets.find(run.AssignedRoute.Group))
-    Targets.learn(*group, run.Target, run.Sent, result, plain, run.SentAt);
-  if (result.End != BatchEnd::Whole) {
+    Targets.handleAnswers(*group, run.Target, run.Sent, result, plain,
+                          run.SentAt);
+  if (result.End != BatchEnd::Complete) {
     handleLostLease(session, result);
     return;
   }
@@ -412,9 +413,9 @@
   bool stillOpen = answer.State == TransactionState::Open;
   bool busy = answer.Error && answer.Error->Kind == ErrorKind::Busy;
   auto again = Time.now() + limits::BusyRetryDelay;
-  if (busy && stillOpen && result.Kept &&
+  if (busy && stillOpen && result.LeaseKept &&
       again + limits::MinAttemptTime < run.Deadline) {
-    pause(run, WaitPlace::Slot, again);
+    pause(run, WaitReason::Slot, again);
     return;
   }
   if (run.Request.Kind == StatementKind::Commit) {
@@ -436,17 +437,17 @@
   bool commit = run.Request.Kind == StatementKind::Commit;
   telemetry::log(Event::TransactionLost, {field("request", run.Request.Id),
                                           field("target", run.Target.Value),
-                                          field("why", result.Why.Detail),
+                                          field("why", result.Error.Detail),
                                           field("commit_sent", commit)});
   // If no byte of the commit was sent, the target has rolled the transaction
   // back.
   if (commit && session.Open.Wrote && result.End == BatchEnd::Lost) {
-    answerUnknownOutcome(session, result.Why.Detail.c_str());
+    answerUnknownOutcome(session, result.Error.Detail.c_str());
     return;
   }
   session.State = commit ? TransactionState::Idle : TransactionState::Failed;
   answerError(session, ErrorKind::Aborted,
-              fmt::format("{}; retry-after-ms={}", result.Why.Detail,
+              fmt::format("{}; retry-after-ms={}", result.Error.Detail,
                           limits::BusyRetryAfter.count()));
 }
 
@@ -484,7 +485,7 @@
   if (now + span >= primaryWaitDeadline(run))
     refuse(session, limits::BusyRetryAfter, nameOf(ErrorKind::Busy));
   else
-    pause(run, WaitPlace::Slot, now + span);
+    pause(run, WaitReason::Slot, now + span);
 }
 
 } // namespace peridotfall::proxy
--- a/src/proxy/target_pool.cpp
+++ b/src/proxy/target_pool.cpp
@@ -62,7 +62,7 @@
 
 void TargetPool::run(LeaseId lease, Batch next, OnBatch done) {
   auto it = findLease(lease);
-  auto end = Time.now() + next.Patience;
+  auto end = Time.now() + next.Timeout;
   start(it, lease, std::move(next), std::move(done), end);
 }
 
@@ -70,7 +70,7 @@
   return Leases.contains(lease) || Waiting.contains(lease);
 }
 
-bool TargetPool::isHeld(LeaseId lease) const {
+bool TargetPool::isAwaitingBatch(LeaseId lease) const {
   auto it = Leases.find(lease);
   return it != Leases.end() && Connections.at(it->second).State == Phase::Held;
 }
@@ -117,7 +117,7 @@
   openNeeded();
 }
 
-TargetPool::ConnectionIt TargetPool::bestIdle(const Values &session) {
+TargetPool::ConnectionIt TargetPool::bestIdle(const SessionValues &session) {
   auto best = Connections.end();
   std::size_t fewest = 0;
   for (auto it = Connections.begin(); it != Connections.end(); ++it) {
@@ -161,12 +161,13 @@
 void TargetPool::start(ConnectionIt it, LeaseId lease, Batch work, OnBatch done,
                        TimePoint end) {
   auto &connection = it->second;
-  auto out = planSetup(connection.Environment, work.Session, work.Needs);
+  auto out =
+      planSetup(connection.Environment, work.Session, work.RequiredPrepared);
   Running running;
   running.Setup = out.size();
   running.Done = std::move(done);
   running.Sent = Time.now();
-  running.AnswerDeadline = std::min(running.Sent + work.Patience, end);
+  running.AnswerDeadline = std::min(running.Sent + work.Timeout, end);
   out.insert(out.end(), work.Statements.begin(), work.Statements.end());
   running.Work = std::move(work);
   connection.Current = std::move(running);
@@ -246,12 +247,12 @@
   auto &connection = it->second;
   auto running = std::move(*connection.Current);
   connection.Current.reset();
-  running.Result.End = BatchEnd::Whole;
+  running.Result.End = BatchEnd::Complete;
   LastAnswer = Time.now();
   if (hasCallerStatement(running.Work))
     Waiting.addAnswerTime(LastAnswer - running.Sent);
   bool idle = running.Result.Answers.back().State == TransactionState::Idle;
-  running.Result.Kept = !running.Work.EndsLease;
+  running.Result.LeaseKept = !running.Work.EndsLease;
   bool ends = running.Work.EndsLease || connection.Abandoned;
   connection.State = Phase::Held;
   connection.Since = Time.now();
@@ -278,10 +279,10 @@
   it->second.Abandoned = true;
   Batch work;
   work.Session = it->second.Environment.Set;
-  work.Statements = {ownStatement(StatementKind::Rollback)};
+  work.Statements = {makeProxyStatement(StatementKind::Rollback)};
   work.EndsLease = true;
-  work.Patience = limits::RollbackLimit;
-  auto end = Time.now() + work.Patience;
+  work.Timeout = limits::RollbackTimeout;
+  auto end = Time.now() + work.Timeout;
   start(it, lease, std::move(work), nullptr, end);
 }
 
@@ -297,7 +298,7 @@
   logLost(*connection.Current, why);
   auto &running = *connection.Current;
   running.Result.End = BatchEnd::Lost;
-  running.Result.Why = {ErrorKind::InDoubt, why};
+  running.Result.Error = {ErrorKind::InDoubt, why};
   running.Result.TargetUnreachable = Unreachable;
   running.Done(std::move(running.Result));
 }
@@ -339,7 +340,7 @@
 void TargetPool::refuse(Waiter &waiter, const char *why) {
   reportWait(waiter);
   BatchResult result;
-  result.Why = {ErrorKind::Busy, why};
+  result.Error = {ErrorKind::Busy, why};
   result.TargetUnreachable = Unreachable;
   // A silent target may be replaced soon, so its callers should keep waiting.
   result.QueueFull = !Unreachable && !Retired &&
@@ -411,7 +412,7 @@
   closeIdle();
 }
 
-void TargetPool::breakAll() {
+void TargetPool::abortAll() {
   retire();
   while (!Connections.empty())
     dropConnection(Connections.begin(), "target restarted");
--- a/src/proxy/target_pool.h
+++ b/src/proxy/target_pool.h
@@ -35,7 +35,7 @@
 /// busy. Longer than one long statement occupies all slots.
 inline constexpr milliseconds SilenceThreshold{250};
 /// Timeout of a rollback that the proxy sends by itself.
-inline constexpr milliseconds RollbackLimit{500};
+inline constexpr milliseconds RollbackTimeout{500};
 
 } // namespace limits
 
@@ -75,7 +75,7 @@
   void abandon(LeaseId lease);
   bool owns(LeaseId lease) const;
   /// \return whether the lease has a connection and runs no batch.
-  bool isHeld(LeaseId lease) const;
+  bool isAwaitingBatch(LeaseId lease) const;
 
   void opened(ConnectionId connection);
   /// \param why the target's error; nothing: it could not be reached.
@@ -95,7 +95,7 @@
   void retire();
   /// Aborts all leases and closes all connections, as another process now runs
   /// at the address.
-  void breakAll();
+  void abortAll();
 
   const TargetEntry &target() const { return Target; }
   PoolStats stats() const;
@@ -128,7 +128,7 @@
   void start(ConnectionIt it, LeaseId lease, Batch work, OnBatch done,
              TimePoint end);
   std::size_t running() const;
-  ConnectionIt bestIdle(const Values &session);
+  ConnectionIt bestIdle(const SessionValues &session);
   void openNeeded();
   void finish(ConnectionIt it);
   void rollBack(ConnectionIt it);
--- a/src/proxy/watch_calls.cpp
+++ b/src/proxy/watch_calls.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int StatusOk = 200;
-constexpr int StatusBad = 400;
+constexpr int StatusBadRequest = 400;
 
 } // namespace
 
@@ -20,11 +20,11 @@
                        const messages::WatchRequest &request,
                        milliseconds limit, OnWatchAnswer done) {
   auto packed = request;
-  messages::FindHeld held;
+  messages::FindCachedSpec held;
   auto cache = Caches.find(request.Kind);
   if (cache != Caches.end()) {
-    packed.TakesPacked = true;
-    packed.Held = largeObjects(cache->second->objects());
+    packed.AcceptsPacked = true;
+    packed.Cached = largeObjects(cache->second->objects());
     held = findSpecIn(*cache->second);
   }
   auto handleResult = [held, address,
@@ -46,7 +46,7 @@
           response.Received});
   };
   Links.call(address, messages::WatchPath, messages::encode(packed),
-             http::beginsWithin(limit), std::move(handleResult));
+             http::firstByteTimeout(limit), std::move(handleResult));
 }
 
 bool handleWatch(const WatchService &service, const http::Request &request,
@@ -55,17 +55,17 @@
     return false;
   auto message = messages::decodeWatchRequest(request.Body);
   if (!message) {
-    respond({StatusBad, {}, message.error().Message});
+    respond({StatusBadRequest, {}, message.error().Message});
     return true;
   }
   const auto &in = message.value();
   messages::PackSpec pack;
-  if (in.TakesPacked)
-    pack = service.Packer.packerFor(in.Kind, in.Held);
+  if (in.AcceptsPacked)
+    pack = service.Packer.packerFor(in.Kind, in.Cached);
   auto answer = [respond, pack, kind = in.Kind,
                  &counts = service.Counts](const messages::WatchAnswer &it) {
     auto body = messages::encode(it, pack);
-    countCopyBytes(counts, kind, CopyFlow::Sent, body.size());
+    countSnapshotBytes(counts, kind, SnapshotFlow::Sent, body.size());
     respond({StatusOk, {}, std::move(body)});
   };
   service.Host.begin(in, std::move(answer));
--- a/src/proxy/watch_calls.h
+++ b/src/proxy/watch_calls.h
@@ -23,14 +23,14 @@
   /// Large objects of the cache's kind are received as the difference from the
   /// cached version.
   /// \param cache must outlive this.
-  void add(const Mirror &cache) { Caches[cache.kind()] = &cache; }
+  void add(const ObjectCache &cache) { Caches[cache.kind()] = &cache; }
 
   void watch(const std::string &address, const messages::WatchRequest &request,
              milliseconds limit, OnWatchAnswer done) override;
 
 private:
   CallPort &Links;
-  std::map<std::string, const Mirror *> Caches;
+  std::map<std::string, const ObjectCache *> Caches;
 };
 
 /// Dependencies of handleWatch.
--- a/tests/adapter/entries_test.cpp
+++ b/tests/adapter/entries_test.cpp
@@ -35,7 +35,7 @@
   CHECK(it.value().Name.Value == "i-7f3a91c2");
   CHECK(it.value().Group.Value == "huvo11a");
   CHECK(it.value().Region.Value == "tartu");
-  CHECK(it.value().Born == 1776000000123ULL);
+  CHECK(it.value().StartId == 1776000000123ULL);
   CHECK(it.value().Slots == 2);
   CHECK_FALSE(it.value().Leaving);
   CHECK_FALSE(it.value().ClaimsPrimary);
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE("leadership record and daemon, formatted, are parsed back") {
-  proxy::DutyRecord record{VmName("vm"), 7, 65, 129};
+  proxy::LeadershipRecord record{VmName("vm"), 7, 65, 129};
   CHECK(parseLeadershipRecord(formatLeadershipRecord(record)).value() ==
         record);
   CHECK_FALSE(parseLeadershipRecord("{}"));
--- a/tests/adapter/wire_test.cpp
+++ b/tests/adapter/wire_test.cpp
@@ -58,7 +58,7 @@
   auto prepare = statementOf("QUERY a PREPARE s1 WRITE q2c");
   CHECK(prepare.Kind == StatementKind::Prepare);
   CHECK(prepare.Name == "s1");
-  CHECK(prepare.Body == proxy::Prepared{true, "q2c"});
+  CHECK(prepare.Body == proxy::PreparedStatement{true, "q2c"});
   auto execute = statementOf("QUERY a EXECUTE s1 1a4 data");
   CHECK(execute.Kind == StatementKind::Execute);
   CHECK(execute.Argument == "1a4 data");
--- a/tests/admission/load_outcomes.h
+++ b/tests/admission/load_outcomes.h
@@ -27,7 +27,7 @@
   std::array<ClassOutcome, RequestClasses> Classes;
   ClassOutcome All;
   ClassOutcome Short;     ///< Without the long statements.
-  ClassOutcome Again;     ///< Retries of refused callers.
+  ClassOutcome Retries;   ///< Retries of refused callers.
   double UsefulWork = 0;  ///< Answered in time / capacity.
   double WastedWork = 0;  ///< Answered too late / capacity.
   double LightInTime = 0; ///< Lowest share in time of a light caller.
@@ -159,7 +159,7 @@
       return it.Class == static_cast<RequestClass>(n);
     }));
   out.Short = summarise(select(calls, [](const Call &it) { return !it.Long; }));
-  out.Again =
+  out.Retries =
       summarise(select(calls, [](const Call &it) { return it.IsRetry; }));
   double useful = 0;
   double wasted = 0;
@@ -203,7 +203,7 @@
   return it;
 }
 
-inline LoadPlan burstComingBack() {
+inline LoadPlan burstWithRetries() {
   LoadPlan it = burst();
   it.Name = "burst, come back";
   it.Length = seconds(40);
--- a/tests/admission/load_test.cpp
+++ b/tests/admission/load_test.cpp
@@ -63,12 +63,12 @@
 TEST_CASE_FIXTURE(LoadFixture,
                   "refused callers, retrying after the given time, are mostly "
                   "answered") {
-  auto plan = shorter(burstComingBack(), seconds(16));
+  auto plan = shorter(burstWithRetries(), seconds(16));
   plan.RaisedFrom = seconds(2);
   plan.RaisedTo = seconds(4);
   auto it = run(plan);
-  REQUIRE(it.Again.Sent > 0);
-  CHECK(it.Again.InTime * 2 > it.Again.Sent);
+  REQUIRE(it.Retries.Sent > 0);
+  CHECK(it.Retries.InTime * 2 > it.Retries.Sent);
 }
 
 TEST_CASE_FIXTURE(LoadFixture,
--- a/tests/config/distribution_test.cpp
+++ b/tests/config/distribution_test.cpp
@@ -157,7 +157,7 @@
   for (std::uint64_t n : {7, 6}) {
     Config.Revision = n;
     assigned = n;
-    kept.offer(Config);
+    kept.updateIfNewer(Config);
   }
   CHECK(assigned == 6);
   CHECK(kept.get()->Revision == 7);
--- a/tests/config/fan_out_test.cpp
+++ b/tests/config/fan_out_test.cpp
@@ -29,7 +29,7 @@
   auto all = members(1'700, 7);
   for (int root : {0, 1, 777, 1'699}) {
     RelayTree tree{all[static_cast<std::size_t>(root)].Vm, false};
-    auto order = arrange(all, tree);
+    auto order = buildRelayOrder(all, tree);
     std::set<VmName> reached{tree.Root};
     std::vector<VmName> next{tree.Root};
     while (!next.empty()) {
--- a/tests/config/relay_fake.h
+++ b/tests/config/relay_fake.h
@@ -39,7 +39,7 @@
   std::vector<milliseconds> ReachedAt; ///< Sorted; live daemons only.
   std::size_t Alive = 0;
   std::size_t Messages = 0;
-  std::size_t MostSent = 0; ///< By one daemon.
+  std::size_t MaxSent = 0; ///< By one daemon.
 
   bool all() const { return ReachedAt.size() == Alive; }
   milliseconds last() const {
@@ -83,7 +83,7 @@
       Out.ReachedAt.push_back(when);
     std::sort(Out.ReachedAt.begin(), Out.ReachedAt.end());
     for (const auto &[vm, n] : Sent)
-      Out.MostSent = std::max(Out.MostSent, n);
+      Out.MaxSent = std::max(Out.MaxSent, n);
     return Out;
   }
 
@@ -115,7 +115,7 @@
   void passOn(const VmName &sender, const RelayTree &tree, const VmName &node) {
     auto &order = Orders[tree.Root];
     if (order.empty())
-      order = arrange(All, tree);
+      order = buildRelayOrder(All, tree);
     for (const auto &it : childrenOf(order, tree, node)) {
       ++Out.Messages;
       ++Sent[sender];
