--- a/tests/daemon/owner_test.cpp
+++ b/tests/daemon/owner_test.cpp
@@ -75,7 +75,7 @@
     database.Name = DatabaseName("orders");
     database.Targets = {{Press, DomainName("d"), "press", Slots, Connections}};
     it.Databases = {database};
-    Config.offer(it);
+    Config.updateIfNewer(it);
     Local = std::make_shared<Owner>(Time, VmName("vm"), Config, Apis, Views);
   }
 
@@ -95,7 +95,7 @@
     });
   }
   void runMaintenance(bool owned = true) {
-    Local->tend([owned](const TargetConfig &) { return owned; });
+    Local->runMaintenance([owned](const TargetConfig &) { return owned; });
   }
   /// Runs one statement, so that the owner estimates it as short.
   void runOnce() {
@@ -311,9 +311,9 @@
                   "read, target's log of an older term, is answered behind") {
   TargetView leader;
   leader.Reachable = true;
-  leader.Last.IsPrimary = true;
-  leader.Last.CurrentTerm = 2;
-  Views.learnStatus(DatabaseName("orders"), TargetName("depot"), leader);
+  leader.LastStatus.IsPrimary = true;
+  leader.LastStatus.CurrentTerm = 2;
+  Views.updateStatus(DatabaseName("orders"), TargetName("depot"), leader);
   for (auto mode : {Access::FreshRead, Access::StaleRead}) {
     auto read = request();
     read.Mode = mode;
--- a/tests/failover/confirmation_test.cpp
+++ b/tests/failover/confirmation_test.cpp
@@ -40,12 +40,12 @@
   }
   /// \return the result of the confirmation; empty while there is none.
   std::optional<bool> answer(TicketHandle ticket) const {
-    for (const auto &it : all<Confirmed>())
+    for (const auto &it : all<ConfirmResult>())
       if (it.Ticket == ticket)
-        return it.Safe;
+        return it.IsConfirmed;
     return std::nullopt;
   }
-  RoundHandle lastRound() const { return all<AskReplicas>().back().Round; }
+  RoundHandle lastRound() const { return all<QueryReplicas>().back().Round; }
 };
 
 } // namespace
@@ -66,15 +66,15 @@
                   "round") {
   for (std::uint64_t n = 1; n <= 100; ++n)
     commit({Current, n});
-  CHECK(all<AskReplicas>().size() == State.MostRounds);
-  auto first = all<AskReplicas>().front().Round;
+  CHECK(all<QueryReplicas>().size() == State.MaxRounds);
+  auto first = all<QueryReplicas>().front().Round;
   replica(first, {Current, 1});
   primary(first);
-  REQUIRE(all<AskReplicas>().size() == State.MostRounds + 1);
-  CHECK(all<AskReplicas>().back().At == Position{Current, 100});
+  REQUIRE(all<QueryReplicas>().size() == State.MaxRounds + 1);
+  CHECK(all<QueryReplicas>().back().At == Position{Current, 100});
   replica(lastRound(), {Current, 100});
   primary(lastRound());
-  auto answered = all<Confirmed>();
+  auto answered = all<ConfirmResult>();
   CHECK(answered.size() == 99);
 }
 
@@ -106,10 +106,10 @@
                   "queried, waits for a second query") {
   // One round serves two writes, and the replicas report them one by one. The
   // second is found after the primary was queried, so it is queried again.
-  State.MostRounds = 0;
+  State.MaxRounds = 0;
   auto first = commit({Current, 7});
   auto second = commit({Current, 8});
-  State.MostRounds = 1;
+  State.MaxRounds = 1;
   record(onConfirmTick(State, Clock.now()));
   replica(lastRound(), {Current, 7});
   replica(lastRound(), {Current, 8});
@@ -132,15 +132,15 @@
   CHECK(answer(it) == false);
   replica(round, {Current, 7});
   primary(round);
-  CHECK(all<Confirmed>().size() == 1);
+  CHECK(all<ConfirmResult>().size() == 1);
 }
 
 TEST_CASE_FIXTURE(ConfirmationFixture,
                   "writes of two terms in one round, older is refused") {
-  State.MostRounds = 0;
+  State.MaxRounds = 0;
   auto old = commit({Current - 1, 9});
   auto fresh = commit({Current, 7});
-  State.MostRounds = 1;
+  State.MaxRounds = 1;
   record(onConfirmTick(State, Clock.now()));
   CHECK(answer(old) == false);
   replica(lastRound(), {Current, 7});
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -293,8 +293,8 @@
   for (const auto *name : {"b", "c"}) // These answered first.
     onStatus(group, TargetName(name),
              {1, false, {1, 1}, TargetName("a"), false}, clock.now());
-  auto more =
-      onPeerView(group, VmName("3"), sightsOf(group, clock.now()), clock.now());
+  auto more = onPeerView(group, VmName("3"), observationsOf(group, clock.now()),
+                         clock.now());
   out.insert(out.end(), more.begin(), more.end());
   CHECK(std::none_of(out.begin(), out.end(), isA<Fence>));
 }
--- a/tests/failover/group_view_test.cpp
+++ b/tests/failover/group_view_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_CASE("group view, encoded and decoded, is the same") {
   GroupViewAnswer it{DatabaseName("orders"), VmName("vm-1"), {}, {}};
-  auto &observation = it.Seen[TargetName("t1")];
+  auto &observation = it.Observations[TargetName("t1")];
   observation.Reachable = true;
   observation.Report = {7, true, {6, 42}, {}, false};
   observation.Age = std::chrono::milliseconds(150);
--- a/tests/failover/simulation.h
+++ b/tests/failover/simulation.h
@@ -22,7 +22,7 @@
 using std::chrono::microseconds;
 
 inline constexpr std::size_t Domains = 3;
-inline constexpr std::size_t PlatformPlace = Domains;
+inline constexpr std::size_t PlatformIndex = Domains;
 
 /// One-way delays of a deployment: between the failure domains of one region,
 /// to the failure domain in the other region, and to clients.
@@ -107,8 +107,8 @@
   }
 
   Duration delay(std::size_t a, std::size_t b) {
-    a = a == PlatformPlace ? 0 : a; // The store is in the first region.
-    b = b == PlatformPlace ? 0 : b;
+    a = a == PlatformIndex ? 0 : a; // The store is in the first region.
+    b = b == PlatformIndex ? 0 : b;
     if (a == b)
       return microseconds(100);
     auto it = a == 2 || b == 2 ? LinkDelays.Region : LinkDelays.Domain;
@@ -157,7 +157,7 @@
   void perform(std::size_t n, const Actions &actions) {
     for (const auto &it : actions) {
       if (!std::holds_alternative<Probe>(it) &&
-          !std::holds_alternative<AskPeer>(it))
+          !std::holds_alternative<QueryPeer>(it))
         History.emplace_back(n, it);
       std::visit([&](const auto &action) { perform(n, action); }, it);
     }
@@ -249,7 +249,7 @@
           });
         });
   }
-  void perform(std::size_t n, const AskPeer &it) {
+  void perform(std::size_t n, const QueryPeer &it) {
     std::size_t peer = 0;
     while (Owners[peer].Vm != it.Vm)
       ++peer;
@@ -257,7 +257,7 @@
       return;
     after(delay(n, peer), [=, this] {
       deliver(peer, [=, this](GroupState &group) {
-        auto seen = sightsOf(group, Now);
+        auto seen = observationsOf(group, Now);
         auto object = newerObject(group, it.Version);
         if (!isCut(n, peer))
           after(delay(n, peer), [=, this] {
@@ -320,7 +320,7 @@
         });
   }
   void perform(std::size_t n, const GetObject &) {
-    if (Platform.Down || isCut(n, PlatformPlace)) {
+    if (Platform.Down || isCut(n, PlatformIndex)) {
       after(milliseconds(2'000), [=, this] {
         deliver(n, [=, this](GroupState &group) {
           return onObjectUnavailable(group, Now);
@@ -328,7 +328,7 @@
       });
       return;
     }
-    after(delay(n, PlatformPlace) * 2, [=, this] {
+    after(delay(n, PlatformIndex) * 2, [=, this] {
       deliver(n, [=, this, object = Platform.Object,
                   version = Platform.Version](GroupState &group) {
         return onObject(group, object, version, Now);
@@ -338,7 +338,7 @@
   void perform(std::size_t n, const PutObject &it) {
     auto outcome = StepOutcome::Unknown;
     Duration wait = milliseconds(2'000);
-    if (!Platform.Down && !isCut(n, PlatformPlace)) {
+    if (!Platform.Down && !isCut(n, PlatformIndex)) {
       bool accepted = it.Expected == Platform.Version;
       if (accepted) {
         Platform.Object = it.Value;
@@ -349,7 +349,7 @@
         --Platform.LoseAnswers;
       else {
         outcome = accepted ? StepOutcome::Done : StepOutcome::Refused;
-        wait = delay(n, PlatformPlace) * 2;
+        wait = delay(n, PlatformIndex) * 2;
       }
     }
     after(wait, [=, this] {
--- a/tests/http/large_answer_test.cpp
+++ b/tests/http/large_answer_test.cpp
@@ -38,7 +38,7 @@
           "out") {
   constexpr milliseconds Begin{200};
   constexpr milliseconds Piece{100};
-  AnswerProgress it(beginsWithin(Begin), Start);
+  AnswerProgress it(firstByteTimeout(Begin), Start);
   CHECK(it.deadline() == Start + Begin);
   for (auto at = Piece; at < 10 * Piece; at += Piece)
     it.received(Start + at);
@@ -47,7 +47,7 @@
 
 TEST_CASE("call with a limit on its whole answer, limit passed, times out") {
   constexpr milliseconds Whole{200};
-  AnswerProgress it(wholeWithin(Whole), Start);
+  AnswerProgress it(totalTimeout(Whole), Start);
   it.received(Start + Whole / 2);
   CHECK(it.deadline() == Start + Whole);
 }
@@ -57,11 +57,11 @@
                   "large answer between daemons, slow link, is received "
                   "completely") {
   SlowRelay relay(TestServer->port(), {});
-  auto it = callThrough(relay, beginsWithin(milliseconds(300)));
+  auto it = callThrough(relay, firstByteTimeout(milliseconds(300)));
   REQUIRE(it);
   CHECK(it.value().Body.size() == LargeBody);
   CHECK(it.value().Received.Bytes == LargeBody);
-  CHECK(it.value().Received.Took > milliseconds(300));
+  CHECK(it.value().Received.Elapsed > milliseconds(300));
 }
 
 // Guards against waiting too long for an answer that stalls halfway.
@@ -71,7 +71,7 @@
   constexpr milliseconds Begin{20'000};
   SlowRelay relay(TestServer->port(), RelayOptions{.StallAfter = 16 << 10});
   auto began = std::chrono::steady_clock::now();
-  auto it = callThrough(relay, beginsWithin(Begin));
+  auto it = callThrough(relay, firstByteTimeout(Begin));
   REQUIRE_FALSE(it);
   CHECK(it.error().Kind == Failure::MaybeRun);
   CHECK(it.error().Received.Bytes > 0);
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -92,7 +92,7 @@
   asio::write(socket, asio::buffer(std::string(ClientPreface) + EmptySettings +
                                    HoldRequest));
   awaitRequests(1);
-  auto gone = Requests[0].Gone;
+  auto gone = Requests[0].Cancelled;
   CHECK_FALSE(gone->load());
   socket.shutdown(asio::ip::tcp::socket::shutdown_send);
   readToEnd(socket);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -28,7 +28,7 @@
     std::vector<Member> members;
     for (const auto &it : vms)
       members.push_back(daemon(it));
-    View.takeList(members, Time.now());
+    View.updateList(members, Time.now());
   }
 
   bool isLive(const std::string &vm) const {
@@ -54,9 +54,9 @@
       for (const auto &it : View.probesDue(Time.now())) {
         auto found = answers.find(it.InnerAddress);
         if (found == answers.end())
-          View.takeMiss(it, Time.now());
+          View.handleMiss(it, Time.now());
         else
-          View.takeAnswer(it, found->second, Time.now());
+          View.handleAnswer(it, found->second, Time.now());
       }
   }
 };
@@ -102,14 +102,16 @@
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, VM replaced under its name, is live again") {
   list({"vm-1", "vm-2"});
-  View.takeContact(record("vm-2", 5, 3), Time.now());
-  View.takeNews({record("vm-2", 5, 3, {VmName("a"), VmName("b")})}, Time.now());
+  View.handleContact(record("vm-2", 5, 3), Time.now());
+  View.handleGossip({record("vm-2", 5, 3, {VmName("a"), VmName("b")})},
+                    Time.now());
   CHECK_FALSE(isLive("vm-2"));
-  View.takeContact(record("vm-2", 6), Time.now());
+  View.handleContact(record("vm-2", 6), Time.now());
   CHECK(isLive("vm-2"));
-  View.takeNews({record("vm-2", 5, 9, {VmName("a"), VmName("b")})}, Time.now());
-  View.takeMiss(daemon("vm-2", 5), Time.now());
-  View.takeMiss(daemon("vm-2", 5), Time.now());
+  View.handleGossip({record("vm-2", 5, 9, {VmName("a"), VmName("b")})},
+                    Time.now());
+  View.handleMiss(daemon("vm-2", 5), Time.now());
+  View.handleMiss(daemon("vm-2", 5), Time.now());
   CHECK(isLive("vm-2"));
 }
 
@@ -117,23 +119,24 @@
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, a single reporter, moves no ownership") {
   list({"vm-1", "vm-2", "vm-3"});
-  View.takeNews({record("vm-2", 0, 0, {VmName("vm-3")})}, Time.now());
+  View.handleGossip({record("vm-2", 0, 0, {VmName("vm-3")})}, Time.now());
   CHECK(isLive("vm-2"));
-  View.takeNews({record("vm-2", 0, 0, {VmName("vm-4")})}, Time.now());
+  View.handleGossip({record("vm-2", 0, 0, {VmName("vm-4")})}, Time.now());
   CHECK_FALSE(isLive("vm-2"));
 }
 
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, itself suspected, refutes by a new version") {
-  View.takeNews({record("vm-1", 1, 0, {VmName("a"), VmName("b")})}, Time.now());
+  View.handleGossip({record("vm-1", 1, 0, {VmName("a"), VmName("b")})},
+                    Time.now());
   auto reported = View.takeObserved();
   REQUIRE(reported.size() == 1);
   CHECK(reported[0].Version == 1);
   Membership other(daemon("vm-2", 1), {}, 2);
-  other.takeNews({record("vm-1", 1, 0, {VmName("a"), VmName("b")})},
-                 Time.now());
+  other.handleGossip({record("vm-1", 1, 0, {VmName("a"), VmName("b")})},
+                     Time.now());
   CHECK(other.isSuspected(VmName("vm-1")));
-  other.takeNews(reported, Time.now());
+  other.handleGossip(reported, Time.now());
   CHECK_FALSE(other.isSuspected(VmName("vm-1")));
 }
 
@@ -144,9 +147,9 @@
   list({"vm-1", "vm-2"});
   run(3s, {});
   CHECK_FALSE(isLive("vm-2"));
-  View.takeContact(record("vm-2", 0), Time.now());
+  View.handleContact(record("vm-2", 0), Time.now());
   CHECK(isLive("vm-2"));
-  View.takeNews({record("vm-2", 0, 0, {VmName("vm-1")})}, Time.now());
+  View.handleGossip({record("vm-2", 0, 0, {VmName("vm-1")})}, Time.now());
   CHECK(isLive("vm-2"));
 }
 
@@ -154,8 +157,8 @@
                   "membership, a daemon leaving, owns nothing and is live") {
   list({"vm-1", "vm-2"});
   auto reported = record("vm-2", 5, 1);
-  reported.It.Leaving = true;
-  View.takeContact(reported, Time.now());
+  reported.Info.Leaving = true;
+  View.handleContact(reported, Time.now());
   CHECK(isLive("vm-2"));
   CHECK_FALSE(ownsAnything("vm-2"));
 }
@@ -165,8 +168,8 @@
                   "own report") {
   auto leaving = daemon("vm-2");
   leaving.Leaving = true;
-  View.takeList({leaving}, Time.now());
-  View.takeContact(record("vm-2", 5, 1), Time.now());
+  View.updateList({leaving}, Time.now());
+  View.handleContact(record("vm-2", 5, 1), Time.now());
   CHECK_FALSE(ownsAnything("vm-2"));
 }
 
@@ -174,7 +177,7 @@
 // has one that is gone.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, the list lags, keeps recently added daemons") {
-  View.takeContact(record("vm-5", 5), Time.now());
+  View.handleContact(record("vm-5", 5), Time.now());
   list({"vm-1"});
   CHECK(isLive("vm-5"));
   Time.advance(31s);
@@ -191,12 +194,12 @@
     it.Domain = DomainName("d" + std::to_string(n % 7));
     all.push_back(it);
   }
-  View.takeList(all, Time.now());
+  View.updateList(all, Time.now());
   std::size_t probes = 0;
   for (int n = 0; n < 100; ++n, Time.advance(100ms))
     for (const auto &it : View.probesDue(Time.now())) {
       ++probes;
-      View.takeAnswer(it, {it, 0, {}}, Time.now());
+      View.handleAnswer(it, {it, 0, {}}, Time.now());
     }
   CHECK(probes <= 10 * 4);
 }
@@ -205,9 +208,9 @@
 // incarnation others would mistake it for its predecessor, which they suspect.
 TEST_CASE_FIXTURE(MembershipFixture,
                   "membership, own incarnation raised, never goes down") {
-  auto before = View.self().It.Incarnation;
+  auto before = View.self().Info.Incarnation;
   View.raiseIncarnation(before + 10);
-  CHECK(View.self().It.Incarnation == before + 10);
+  CHECK(View.self().Info.Incarnation == before + 10);
   View.raiseIncarnation(before);
-  CHECK(View.self().It.Incarnation == before + 10);
+  CHECK(View.self().Info.Incarnation == before + 10);
 }
--- a/tests/platform/guarded_test.cpp
+++ b/tests/platform/guarded_test.cpp
@@ -156,14 +156,14 @@
   Backoff b(options, 2);
   bool differ = false;
   for (int n = 0; n < 30; ++n) {
-    auto x = a.failed();
-    auto y = b.failed();
+    auto x = a.nextDelay();
+    auto y = b.nextDelay();
     differ |= x != y;
-    CHECK(x >= options.First / 2);
-    CHECK(x <= options.Longest);
+    CHECK(x >= options.InitialDelay / 2);
+    CHECK(x <= options.MaxDelay);
   }
   CHECK(differ);
-  CHECK(a.failed() >= options.Longest / 2);
-  a.succeeded();
-  CHECK(a.failed() <= options.First);
+  CHECK(a.nextDelay() >= options.MaxDelay / 2);
+  a.reset();
+  CHECK(a.nextDelay() <= options.InitialDelay);
 }
--- a/tests/proof/coordinator.cpp
+++ b/tests/proof/coordinator.cpp
@@ -16,7 +16,7 @@
 const DatabaseName Database{"orders"};
 
 struct PeerAnswer {
-  failover::Sights Seen;
+  failover::TargetObservations Seen;
   std::optional<failover::VersionedObject> Object;
 };
 
@@ -79,7 +79,7 @@
       });
 }
 
-void Coordinator::perform(const failover::AskPeer &it) {
+void Coordinator::perform(const failover::QueryPeer &it) {
   auto *peer = Deps.Peer(it.Vm);
   if (!peer)
     return;
@@ -88,8 +88,9 @@
       [peer, version = it.Version](auto reply) {
         std::optional<PeerAnswer> answer;
         if (peer->Group)
-          answer = {failover::sightsOf(*peer->Group, peer->Context.Sim.now()),
-                    failover::newerObject(*peer->Group, version)};
+          answer = {
+              failover::observationsOf(*peer->Group, peer->Context.Sim.now()),
+              failover::newerObject(*peer->Group, version)};
         reply(answer);
       },
       [this, vm = it.Vm](const Result<std::optional<PeerAnswer>> &answer) {
--- a/tests/proof/coordinator.h
+++ b/tests/proof/coordinator.h
@@ -52,7 +52,7 @@
 private:
   void perform(const failover::Actions &actions);
   void perform(const failover::Probe &it);
-  void perform(const failover::AskPeer &it);
+  void perform(const failover::QueryPeer &it);
   void perform(const failover::Fence &it);
   void perform(const failover::Promote &it);
   void perform(const failover::Follow &it);
--- a/tests/proof/owner.cpp
+++ b/tests/proof/owner.cpp
@@ -291,12 +291,12 @@
 void Owner::perform(const TargetName &name,
                     const failover::ConfirmActions &actions) {
   for (const auto &action : actions) {
-    if (const auto *replicas = std::get_if<failover::AskReplicas>(&action))
+    if (const auto *replicas = std::get_if<failover::QueryReplicas>(&action))
       query(name, *replicas);
-    else if (const auto *primary = std::get_if<failover::AskPrimary>(&action))
+    else if (const auto *primary = std::get_if<failover::QueryPrimary>(&action))
       query(name, *primary);
     else
-      complete(name, std::get<failover::Confirmed>(action));
+      complete(name, std::get<failover::ConfirmResult>(action));
   }
 }
 
@@ -307,7 +307,7 @@
   return it;
 }
 
-void Owner::query(const TargetName &name, const failover::AskReplicas &it) {
+void Owner::query(const TargetName &name, const failover::QueryReplicas &it) {
   for (auto *target : Targets) {
     if (target->name() == name)
       continue;
@@ -326,7 +326,7 @@
   }
 }
 
-void Owner::query(const TargetName &name, const failover::AskPrimary &it) {
+void Owner::query(const TargetName &name, const failover::QueryPrimary &it) {
   auto *primary = find(name);
   auto done = [this, name, it](const Result<failover::TargetReport> &report) {
     std::optional<failover::TargetReport> known;
@@ -349,14 +349,15 @@
   done(claimed);
 }
 
-void Owner::complete(const TargetName &name, const failover::Confirmed &it) {
+void Owner::complete(const TargetName &name,
+                     const failover::ConfirmResult &it) {
   auto &waiting = Confirmations[name].Waiting;
   auto found = waiting.find(it.Ticket);
   if (found == waiting.end())
     return;
   auto item = std::move(found->second);
   waiting.erase(found);
-  if (it.Safe) {
+  if (it.IsConfirmed) {
     Context.Hooks.reached(Step::Confirmed);
     item.Done(item.Answer);
   } else if (item.Request.Mode == Access::Write) {
--- a/tests/proof/owner.h
+++ b/tests/proof/owner.h
@@ -89,9 +89,9 @@
   void confirm(const WorkPtr &work, StatementAnswer answer);
   void confirmTick(const TargetName &name);
   void perform(const TargetName &name, const failover::ConfirmActions &actions);
-  void query(const TargetName &name, const failover::AskReplicas &it);
-  void query(const TargetName &name, const failover::AskPrimary &it);
-  void complete(const TargetName &name, const failover::Confirmed &it);
+  void query(const TargetName &name, const failover::QueryReplicas &it);
+  void query(const TargetName &name, const failover::QueryPrimary &it);
+  void complete(const TargetName &name, const failover::ConfirmResult &it);
   /// A replica's report, changed where a safeguard is disabled.
   failover::TargetReport applySafeguards(failover::TargetReport it,
                                          Position at) const;
--- a/tests/proof/peers.cpp
+++ b/tests/proof/peers.cpp
@@ -76,7 +76,7 @@
     return;
   bool accepted = false;
   if (Context.Guards.RevisionNeverFalls) {
-    accepted = InForce->offer(it);
+    accepted = InForce->updateIfNewer(it);
   } else {
     accepted = Unguarded.Id != it.Id;
     Unguarded = it;
--- a/tests/proxy/succession_test.cpp
+++ b/tests/proxy/failover_controller_test.cpp
@@ -1,5 +1,5 @@
 #include "fixture.h"
-#include "proxy/succession.h"
+#include "proxy/failover_controller.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct FakeCalls final : SuccessionPort {
+struct FakeCalls final : FailoverPort {
   struct Promotion {
     TargetName Target;
     std::uint64_t Number = 0;
@@ -16,7 +16,8 @@
     auto operator<=>(const Promotion &) const = default;
   };
 
-  void writeRecord(const DutyRecord &record, std::uint64_t revision) override {
+  void writeRecord(const LeadershipRecord &record,
+                   std::uint64_t revision) override {
     Written = record;
     WrittenOver = revision;
   }
@@ -32,9 +33,9 @@
     return out;
   }
   void readTargets() override {}
-  void askPeers(const GroupName &) override { ++PeerQueries; }
+  void queryPeers(const GroupName &) override { ++PeerQueries; }
 
-  std::optional<DutyRecord> Written;
+  std::optional<LeadershipRecord> Written;
   std::uint64_t WrittenOver = 0;
   unsigned Reads = 0;
   unsigned PeerQueries = 0;
@@ -47,12 +48,13 @@
   static constexpr std::uint64_t Incarnation = 7;
 
   FakeCalls Calls;
-  Succession Failover{{VmName("vm"), DomainName("press"), RegionName("tartu")},
-                      Incarnation,
-                      All,
-                      Calls,
-                      Counts,
-                      Time};
+  FailoverController Failover{
+      {VmName("vm"), DomainName("press"), RegionName("tartu")},
+      Incarnation,
+      TargetGroups,
+      Calls,
+      Metrics,
+      Time};
   bool PrimaryAnswers = true;
   std::map<std::string, Position> Received{{"r", {InTerm, 90}},
                                            {"s", {InTerm, 95}}};
@@ -65,14 +67,14 @@
     return it;
   }
   void becomeLeader(std::uint64_t first = 11) {
-    Failover.takeMembers({member("vm", Incarnation)});
-    Failover.takeRecord(
-        DutyRecord{VmName("vm"), Incarnation, first, first + 64}, 5);
+    Failover.updateMembers({member("vm", Incarnation)});
+    Failover.handleRecord(
+        LeadershipRecord{VmName("vm"), Incarnation, first, first + 64}, 5);
   }
   /// Answers for the other daemons and the store.
-  void reportFromPeers(const PeerEvidence &evidence) {
-    Failover.takeEvidence(GroupName("ledger"), evidence);
-    Failover.takeTargetsRead();
+  void reportFromPeers(const PeerReports &evidence) {
+    Failover.handlePeerReports(GroupName("ledger"), evidence);
+    Failover.handleTargetsRead();
   }
   Answer answerOf(const std::string &target, const Statement &it) {
     if (it.Kind == StatementKind::Status) {
@@ -95,9 +97,9 @@
   void simulateTargets() {
     auto opening = std::exchange(Links.Opening, {});
     for (auto id : opening) {
-      auto target = Links.Lines.at(id).Target;
+      auto target = Links.Connections.at(id).Target;
       bool up = answers(target.Value);
-      All.withPools(target, [&](TargetPool &pool) {
+      TargetGroups.withPools(target, [&](TargetPool &pool) {
         if (up)
           pool.opened(id);
         else
@@ -109,7 +111,8 @@
         auto id = busyAt(target);
         if (!id)
           break;
-        answer(*id, answerOf(target, Links.Lines.at(*id).Unanswered.front()));
+        answer(*id,
+               answerOf(target, Links.Connections.at(*id).Unanswered.front()));
       }
   }
   void run(Duration span) {
@@ -117,8 +120,8 @@
     for (Duration done{}; done < span; done += Step) {
       Time.advance(Step);
       simulateTargets();
-      All.use(GroupName("ledger"));
-      All.tick();
+      TargetGroups.markUsed(GroupName("ledger"));
+      TargetGroups.tick();
       Failover.tick();
       simulateTargets();
     }
@@ -126,12 +129,12 @@
   void crashPrimary() {
     PrimaryAnswers = false;
     std::vector<ConnectionId> open;
-    for (const auto &[id, it] : Links.Lines)
+    for (const auto &[id, it] : Links.Connections)
       if (it.Open && it.Target.Value == "p")
         open.push_back(id);
     for (auto id : open)
-      All.withPools(TargetName("p"),
-                    [&](TargetPool &pool) { pool.closed(id); });
+      TargetGroups.withPools(TargetName("p"),
+                             [&](TargetPool &pool) { pool.closed(id); });
   }
   /// The primary crashes and the failover leader suspects it.
   void suspectPrimary() {
@@ -171,12 +174,12 @@
   run(milliseconds(100));
   REQUIRE(Calls.Promotions.size() == 1);
   Time.advance(milliseconds(40));
-  Failover.takePromoted(GroupName("ledger"), CallOutcome::Done);
+  Failover.handlePromoted(GroupName("ledger"), CallOutcome::Done);
   Entries.at(TargetName("s")).ClaimsPrimary = true;
   Entries.at(TargetName("s")).Revision = 9;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   run(milliseconds(100));
-  auto text = writeText(Counts, {});
+  auto text = writeText(Metrics, {});
   for (const char *part : {"notice", "evidence", "choice", "call", "lead"}) {
     CAPTURE(part);
     CHECK(text.find("peridotfall_primary_change_seconds_count{part=\"" +
@@ -201,10 +204,10 @@
   suspectPrimary();
   reportFromPeers({8, 0});
   run(milliseconds(100));
-  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.handlePromoted(GroupName("ledger"), CallOutcome::Unknown);
   REQUIRE(Calls.Promotions.size() == 2);
   CHECK(Calls.Promotions[0] == Calls.Promotions[1]);
-  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.handlePromoted(GroupName("ledger"), CallOutcome::Unknown);
   run(milliseconds(240));
   reportFromPeers({8, 0});
   run(milliseconds(300));
@@ -227,8 +230,8 @@
   run(milliseconds(1'000));
   CHECK(Calls.Promotions.size() == proxy::limits::MaxPromotionCalls);
   // When one call times out, the answers of the others are still awaited.
-  Failover.takePromoted(GroupName("ledger"), CallOutcome::Unknown);
-  Failover.takePromoted(GroupName("ledger"), CallOutcome::Done);
+  Failover.handlePromoted(GroupName("ledger"), CallOutcome::Unknown);
+  Failover.handlePromoted(GroupName("ledger"), CallOutcome::Done);
   run(milliseconds(500));
   for (const auto &it : Calls.Promotions)
     CHECK(it == Calls.Promotions[0]);
@@ -260,7 +263,7 @@
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "synchronous replica silent for long, promotion waits for "
                   "it") {
-  All.takeSettings({{GroupName("ledger"), {16, true}}});
+  TargetGroups.applySettings({{GroupName("ledger"), {16, true}}});
   becomeLeader();
   run(milliseconds(1'000));
   Silent = {"s"};
@@ -290,7 +293,7 @@
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "leadership just acquired, primary is suspected only from "
                   "then on") {
-  Failover.takeMembers({member("vm", Incarnation)});
+  Failover.updateMembers({member("vm", Incarnation)});
   crashPrimary();
   run(milliseconds(3'000));
   becomeLeader();
@@ -307,13 +310,13 @@
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "leader missing, leadership is claimed only some time "
                   "after the store was read") {
-  DutyRecord other{VmName("other"), 3, 1, 64};
-  Failover.takeRecord(other, 9);
-  Failover.takeMembers({member("vm", Incarnation)});
+  LeadershipRecord other{VmName("other"), 3, 1, 64};
+  Failover.handleRecord(other, 9);
+  Failover.updateMembers({member("vm", Incarnation)});
   run(milliseconds(5'000));
   CHECK_FALSE(Calls.Written);
   CHECK(Calls.Reads >= 1);
-  Failover.takeRecord(other, 9);
+  Failover.handleRecord(other, 9);
   run(milliseconds(600));
   CHECK_FALSE(Calls.Written);
   run(milliseconds(1'000));
@@ -327,8 +330,9 @@
 // wait for the lease to expire.
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "leader restarted, claims leadership again at once") {
-  Failover.takeRecord(DutyRecord{VmName("vm"), Incarnation - 1, 1, 64}, 9);
-  Failover.takeMembers({member("vm", Incarnation), member("other", 3)});
+  Failover.handleRecord(LeadershipRecord{VmName("vm"), Incarnation - 1, 1, 64},
+                        9);
+  Failover.updateMembers({member("vm", Incarnation), member("other", 3)});
   run(milliseconds(40));
   REQUIRE(Calls.Written);
   CHECK(Calls.Written->Incarnation == Incarnation);
@@ -338,20 +342,20 @@
 
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "leader missing and seen again, leadership is not claimed") {
-  DutyRecord other{VmName("other"), 3, 1, 64};
-  Failover.takeRecord(other, 9);
-  Failover.takeMembers({member("vm", Incarnation)});
+  LeadershipRecord other{VmName("other"), 3, 1, 64};
+  Failover.handleRecord(other, 9);
+  Failover.updateMembers({member("vm", Incarnation)});
   run(milliseconds(4'000));
-  Failover.takeRecord(other, 9);
-  Failover.takeMembers({member("vm", Incarnation), member("other", 3)});
+  Failover.handleRecord(other, 9);
+  Failover.updateMembers({member("vm", Incarnation), member("other", 3)});
   run(milliseconds(4'000));
   CHECK_FALSE(Calls.Written);
 }
 
 TEST_CASE_FIXTURE(FailoverControllerFixture,
                   "no record, leadership is claimed at once") {
-  Failover.takeRecord(std::nullopt, 0);
-  Failover.takeMembers({member("vm", Incarnation)});
+  Failover.handleRecord(std::nullopt, 0);
+  Failover.updateMembers({member("vm", Incarnation)});
   run(milliseconds(100));
   REQUIRE(Calls.Written);
   CHECK(Calls.Written->First == 1);
@@ -366,7 +370,7 @@
   becomeLeader();
   run(milliseconds(1'000));
   Entries.at(TargetName("p")).Leaving = true;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   run(milliseconds(400));
   CHECK(Calls.Promotions.empty());
   Received["s"] = Head;
@@ -383,7 +387,7 @@
   REQUIRE(Calls.PeerQueries == 1);
   Entries.at(TargetName("s")).ClaimsPrimary = true;
   Entries.at(TargetName("s")).Revision = 20;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   reportFromPeers({8, 0});
   run(milliseconds(100));
   CHECK(Calls.Promotions.empty());
--- a/tests/proxy/fixture.h
+++ b/tests/proxy/fixture.h
@@ -16,7 +16,7 @@
 
 /// Records the statements sent to targets, by connection and in order.
 struct FakeTargets final : TargetPort {
-  struct Line {
+  struct Connection {
     TargetName Target;
     bool Open = true;
     std::deque<Statement> Unanswered;
@@ -25,28 +25,30 @@
 
   ConnectionId open(const TargetEntry &target) override {
     ConnectionId id{++Last};
-    Lines[id].Target = target.Name;
+    Connections[id].Target = target.Name;
     Opening.push_back(id);
     return id;
   }
   void send(ConnectionId connection,
             const std::vector<Statement> &statements) override {
-    auto &it = Lines.at(connection);
+    auto &it = Connections.at(connection);
     it.Unanswered.insert(it.Unanswered.end(), statements.begin(),
                          statements.end());
     it.Seen.insert(it.Seen.end(), statements.begin(), statements.end());
   }
   void close(ConnectionId connection) override {
-    Lines.at(connection).Open = false;
+    Connections.at(connection).Open = false;
   }
 
   std::uint64_t Last = 0;
-  std::map<ConnectionId, Line> Lines;
+  std::map<ConnectionId, Connection> Connections;
   std::vector<ConnectionId> Opening;
 };
 
 struct FakeCallers final : CallerPort {
-  void greet(CallerId caller) override { HandshakesDone.push_back(caller); }
+  void completeHandshake(CallerId caller) override {
+    HandshakesDone.push_back(caller);
+  }
   void answer(CallerId caller, const Answer &answer) override {
     Answers[caller].push_back(answer);
   }
@@ -81,12 +83,12 @@
   FakeTargets Links;
   FakeCallers CallerSide;
   NoRelay Relay;
-  Groups All{{VmName("vm"), DomainName("press"), RegionName("tartu")},
-             Links,
-             Relay,
-             Time};
-  ProxyMetrics Counts = makeProxyMetrics();
-  Sessions Callers{All, CallerSide, Counts, Time};
+  Groups TargetGroups{{VmName("vm"), DomainName("press"), RegionName("tartu")},
+                      Links,
+                      Relay,
+                      Time};
+  ProxyMetrics Metrics = makeProxyMetrics();
+  Sessions Callers{TargetGroups, CallerSide, Metrics, Time};
   TargetList Entries;
   Position Head{InTerm, 100};
   std::uint64_t LastCaller = 0;
@@ -96,15 +98,15 @@
     addTarget("p", true);
     addTarget("r", false);
     addTarget("s", false);
-    All.takeTargets(Entries);
+    TargetGroups.updateTargets(Entries);
     RoutingTable table;
     table.Version = 1;
     table.Groups[GroupName("ledger")] = {16, false};
     addRoute(table, "orders", Guarantee::Primary);
     addRoute(table, "views", Guarantee::BoundedStaleness);
     addRoute(table, "status", Guarantee::ReadYourWrites);
-    All.takeSettings(table.Groups);
-    Callers.takeRoutes(table);
+    TargetGroups.applySettings(table.Groups);
+    Callers.applyRoutes(table);
   }
 
   void addTarget(const char *name, bool primary) {
@@ -114,7 +116,7 @@
     it.Address = "127.0.0.1:1";
     it.Domain = DomainName(std::string("domain-") + name);
     it.Region = RegionName("tartu");
-    it.Born = 1;
+    it.StartId = 1;
     it.Slots = 2;
     it.ClaimsPrimary = primary;
     it.Revision = Entries.size() + 1;
@@ -151,29 +153,29 @@
   }
 
   /// Completes the handshake of every connection that is being opened.
-  void greetAll() {
+  void completeHandshakes() {
     while (!Links.Opening.empty()) {
       auto id = Links.Opening.back();
       Links.Opening.pop_back();
-      All.withPools(Links.Lines.at(id).Target,
-                    [&](TargetPool &pool) { pool.opened(id); });
+      TargetGroups.withPools(Links.Connections.at(id).Target,
+                             [&](TargetPool &pool) { pool.opened(id); });
     }
   }
   /// \return a connection to the target with an unanswered statement.
   std::optional<ConnectionId> busyAt(const char *target) {
-    for (const auto &[id, it] : Links.Lines)
+    for (const auto &[id, it] : Links.Connections)
       if (it.Open && it.Target.Value == target && !it.Unanswered.empty())
         return id;
     return std::nullopt;
   }
   /// Answers the oldest statement on a connection.
   Statement answer(ConnectionId id, Answer answer) {
-    auto &line = Links.Lines.at(id);
+    auto &line = Links.Connections.at(id);
     REQUIRE_FALSE(line.Unanswered.empty());
     auto out = line.Unanswered.front();
     line.Unanswered.pop_front();
-    All.withPools(line.Target,
-                  [&](TargetPool &pool) { pool.answered(id, answer); });
+    TargetGroups.withPools(
+        line.Target, [&](TargetPool &pool) { pool.answered(id, answer); });
     return out;
   }
   Answer success(const Statement &it, TransactionState state) const {
@@ -194,9 +196,9 @@
   }
   /// Answers all statements sent to the target, as a healthy one does.
   void serve(const char *target, TransactionState state) {
-    greetAll();
+    completeHandshakes();
     while (auto id = busyAt(target)) {
-      const auto &next = Links.Lines.at(*id).Unanswered.front();
+      const auto &next = Links.Connections.at(*id).Unanswered.front();
       bool ends = next.Kind == StatementKind::Rollback ||
                   next.Kind == StatementKind::Commit;
       bool begins = next.Kind == StatementKind::Begin ||
@@ -217,7 +219,7 @@
     constexpr milliseconds Step{20};
     for (Duration done{}; done < span; done += Step) {
       Time.advance(Step);
-      All.tick();
+      TargetGroups.tick();
       Callers.tick();
     }
   }
--- a/tests/proxy/group_view_test.cpp
+++ b/tests/proxy/group_view_test.cpp
@@ -19,7 +19,7 @@
     it.Name = name;
     it.ClaimsPrimary = primary;
     it.Revision = revision;
-    it.Born = born;
+    it.StartId = born;
     return it;
   }
 };
--- a/tests/proxy/paths_test.cpp
+++ b/tests/proxy/holder_paths_test.cpp
@@ -1,4 +1,4 @@
-#include "proxy/paths.h"
+#include "proxy/holder_paths.h"
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 
 struct PathsFixture {
   ManualClock Time;
-  Paths TargetPaths;
+  HolderPaths TargetPaths;
   VmName One{"one"};
   VmName Two{"two"};
   VmName Self{"self"};
--- a/tests/proxy/large_copies_test.cpp
+++ b/tests/proxy/large_snapshots_test.cpp
@@ -1,7 +1,7 @@
-#include "proxy/copies.h"
 #include "proxy/link_model.h"
 #include "proxy/members.h"
 #include "proxy/shared_watch.h"
+#include "proxy/snapshot_exchange.h"
 #include "proxy/watch_calls.h"
 
 #include <doctest/doctest.h>
@@ -162,7 +162,7 @@
             const http::AnswerLimits &limits, http::OnResult done) override {
     auto it = std::make_shared<Call>();
     it->Limits = limits;
-    it->TimesOutAt = Time.now() + limits.Begin;
+    it->TimesOutAt = Time.now() + limits.FirstByte;
     it->Done = std::move(done);
     Calls.push_back(it);
     http::Request request;
@@ -225,19 +225,19 @@
       : Self(self), Store(objects, links, self.InnerAddress, clock),
         Calls(links, self.InnerAddress, std::move(handle), clock),
         WatchLinks(Calls), Host(clock),
-        Watch(Store, WatchLinks, Kind, freshFor(Bound), clock),
+        Watch(Store, WatchLinks, Kind, maxCacheAge(Bound), clock),
         Snapshots(Calls, Packer, Counts, clock, seed),
         Cache({.Kind = Kind,
-               .Backoff = returnBackoff(1'000),
+               .Backoff = recoveryBackoff(1'000),
                .Seed = seed,
-               .ListOnReturn = true,
-               .WatchWait = watchWait(Bound)},
+               .ListAfterOutage = true,
+               .WatchWait = maxWatchWait(Bound)},
               Watch, clock) {
     Host.add(Cache, true);
     WatchLinks.add(Cache);
     Snapshots.add(Cache);
-    Watch.takeMembers(Self.Vm, Here, live);
-    Snapshots.takeMembers(Self.Vm, live);
+    Watch.updateMembers(Self.Vm, Here, live);
+    Snapshots.updateMembers(Self.Vm, live);
     Cache.start();
   }
   void handle(const http::Request &request, const http::Respond &respond) {
@@ -260,8 +260,8 @@
   WatchCalls WatchLinks;
   WatchHost Host;
   SharedWatch Watch;
-  Copies Snapshots;
-  Mirror Cache;
+  SnapshotExchange Snapshots;
+  ObjectCache Cache;
 };
 
 /// Daemons of one failure domain on narrow links, with one store.
--- a/tests/proxy/lease_message_test.cpp
+++ b/tests/proxy/lease_message_test.cpp
@@ -13,8 +13,8 @@
                    std::chrono::milliseconds(500),
                    std::chrono::milliseconds(-30)};
   begin.First.Session = {{"z\xff", "\x80\x81"}};
-  begin.First.Needs = {{true, "\xfe"}};
-  begin.First.Statements = {ownStatement(StatementKind::Write)};
+  begin.First.RequiredPrepared = {{true, "\xfe"}};
+  begin.First.Statements = {makeProxyStatement(StatementKind::Write)};
   begin.First.Statements[0].Id = "\xc0";
   begin.First.Statements[0].Text = "WRITE a \xff\xfe";
   begin.First.Statements[0].NotBefore = Position{3, 17};
@@ -23,8 +23,8 @@
   CHECK(read.value() == begin);
 
   messages::LeaseAnswer answer;
-  answer.Result.End = BatchEnd::Whole;
-  answer.Result.Kept = true;
+  answer.Result.End = BatchEnd::Complete;
+  answer.Result.LeaseKept = true;
   answer.Lease = {7};
   answer.Result.Answers.resize(1);
   answer.Result.Answers[0].Rows = {"\xff", ""};
@@ -49,7 +49,7 @@
 TEST_CASE("lease messages, unlimited spans, are limited to the clock's range") {
   for (auto span : {Duration::max(), Duration::min()}) {
     messages::BeginLease begin;
-    begin.First.Statements = {ownStatement(StatementKind::Begin)};
+    begin.First.Statements = {makeProxyStatement(StatementKind::Begin)};
     begin.Request.GoalLeft = span;
     auto read = messages::decodeBeginLease(messages::encode(begin));
     REQUIRE(read);
--- a/tests/proxy/logs_test.cpp
+++ b/tests/proxy/logs_test.cpp
@@ -68,9 +68,10 @@
   it.Id = "mine";
   it.Text = "WRITE b x";
   Callers.statement(caller, it);
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   CHECK(last(caller).Error->Kind == ErrorKind::InDoubt);
   auto lines = timeline("mine");
   CHECK(std::find(lines.begin(), lines.end(),
@@ -84,7 +85,7 @@
                   "read refused as replicas lag, its lines name each attempt") {
   learnHead();
   Entries.erase(TargetName("p"));
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   auto caller = session("views");
   Statement it;
   it.Kind = StatementKind::Read;
@@ -93,10 +94,10 @@
   Callers.statement(caller, it);
   for (unsigned n = 0; n < 40; ++n) {
     pass(milliseconds(20));
-    greetAll();
+    completeHandshakes();
     for (const char *replica : {"r", "s"})
       while (auto id = busyAt(replica)) {
-        bool own = Links.Lines.at(*id).Unanswered.front().Id.empty();
+        bool own = Links.Connections.at(*id).Unanswered.front().Id.empty();
         answer(*id, failure(own ? ErrorKind::ReadOnly : ErrorKind::Lagging,
                             TransactionState::Idle));
       }
@@ -127,7 +128,7 @@
   auto table = Callers.routes();
   ++table.Version;
   table.Routes.erase(DatabaseName("orders"));
-  REQUIRE(Callers.takeRoutes(table));
+  REQUIRE(Callers.applyRoutes(table));
   send(caller, StatementKind::Write, "WRITE a x");
   CHECK(last(caller).Error->Kind == ErrorKind::NoDatabase);
   CHECK(Lines.back().Event == "PF5010");
--- a/tests/proxy/metrics_test.cpp
+++ b/tests/proxy/metrics_test.cpp
@@ -10,7 +10,7 @@
 struct ProxyMetricsFixture : ProxyFixture {
   /// \return the value of a series, by its name and labels; 0 if missing.
   double value(const std::string &series) {
-    auto text = writeText(Counts, {});
+    auto text = writeText(Metrics, {});
     auto at = text.find("\n" + series + " ");
     if (at == std::string::npos)
       return 0;
@@ -28,13 +28,13 @@
 TEST_CASE_FIXTURE(ProxyMetricsFixture,
                   "write that waited for a primary, its wait is counted") {
   Entries.at(TargetName("p")).ClaimsPrimary = false;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a 1");
   pass(milliseconds(200));
   Entries.at(TargetName("r")).ClaimsPrimary = true;
   Entries.at(TargetName("r")).Revision = 9;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   serve("r", TransactionState::Idle);
   REQUIRE(last(caller).ok());
   CHECK(count("peridotfall_wait_seconds", "{for=\"primary\"}") == 1);
@@ -46,7 +46,7 @@
                   "answers of targets, counted by result") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a 1");
-  greetAll();
+  completeHandshakes();
   answer(*busyAt("p"), failure(ErrorKind::Busy, TransactionState::Idle));
   pass(milliseconds(100));
   serve("p", TransactionState::Idle);
@@ -60,7 +60,7 @@
                   "statement without an answer, counted as none") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a 1");
-  greetAll();
+  completeHandshakes();
   pass(std::chrono::seconds(1));
   REQUIRE_FALSE(last(caller).ok());
   CHECK(value("peridotfall_target_answers_total{answer=\"none\"}") == 1);
@@ -92,11 +92,11 @@
                   "answers of the store, their age is reported by kind") {
   ProxyGauges now;
   now.StoreAges = {{"targets", milliseconds(2'500)}};
-  auto text = writeText(Counts, now);
+  auto text = writeText(Metrics, now);
   CHECK(
       text.find("peridotfall_store_answer_age_seconds{kind=\"targets\"} 2.5") !=
       std::string::npos);
-  countStoreCall(Counts, "duty", StoreCall::Write, false);
+  countStoreCall(Metrics, "duty", StoreCall::Write, false);
   CHECK(value("peridotfall_store_calls_total{answered=\"no\",call=\"write\","
               "kind=\"duty\"}") == 1);
 }
--- a/tests/proxy/mirror_test.cpp
+++ b/tests/proxy/object_cache_test.cpp
@@ -1,4 +1,4 @@
-#include "proxy/mirror.h"
+#include "proxy/object_cache.h"
 
 #include "telemetry/log_writer.h"
 
@@ -37,9 +37,10 @@
 struct MirrorFixture {
   ManualClock Time;
   FakeSource Source;
-  Mirror Cache{{.Kind = "targets", .KeepWhileAway = true, .ChangePause = {}},
-               Source,
-               Time};
+  ObjectCache Cache{
+      {.Kind = "targets", .KeepAfterOutage = true, .ChangePause = {}},
+      Source,
+      Time};
   Objects Seen;
 
   MirrorFixture() {
@@ -161,7 +162,7 @@
   Source.Lists[0](page({object("a", 3)}, 10));
   CHECK(Source.Wait == limits::WatchWait);
   unsigned regained = 0;
-  Cache.OnRegained = [&] { ++regained; };
+  Cache.OnAvailable = [&] { ++regained; };
   Source.Watch({});
   pass(milliseconds(500));
   CHECK(Source.Wait == limits::OutageWatchWait);
@@ -193,17 +194,17 @@
 TEST_CASE("kind has changed, next watch starts after a pause") {
   ManualClock clock;
   FakeSource source;
-  MirrorOptions options;
+  ObjectCacheOptions options;
   options.Kind = "daemons";
-  options.ChangePause = limits::OwnChangePause;
-  Mirror cache(options, source, clock);
+  options.ChangePause = limits::DaemonChangePause;
+  ObjectCache cache(options, source, clock);
   cache.start();
   source.Lists[0](MirrorFixture::page({}, 5));
   std::exchange(source.Watch, nullptr)(
       MirrorFixture::page({MirrorFixture::object("a", 6)}, 6));
   CHECK(cache.objects().contains("a"));
   CHECK_FALSE(source.Watch);
-  clock.advance(limits::OwnChangePause);
+  clock.advance(limits::DaemonChangePause);
   cache.tick();
   REQUIRE(source.Watch);
   CHECK(source.WatchedFrom == 6);
@@ -218,14 +219,14 @@
   for (auto bound :
        {milliseconds(3'000), milliseconds(5'000), milliseconds(6'000),
         milliseconds(7'000), milliseconds(10'000), milliseconds(60'000)}) {
-    auto noticed = watchWait(bound) + peridotfall::proxy::limits::WatchSlack;
+    auto noticed = maxWatchWait(bound) + peridotfall::proxy::limits::WatchSlack;
     CHECK(noticed + peridotfall::proxy::limits::RecoveryReserve <= bound);
   }
-  CHECK(watchWait(milliseconds(3'000)) == milliseconds(1'500));
-  CHECK(watchWait(milliseconds(5'000)) == milliseconds(3'500));
-  CHECK(watchWait(milliseconds(100)) ==
+  CHECK(maxWatchWait(milliseconds(3'000)) == milliseconds(1'500));
+  CHECK(maxWatchWait(milliseconds(5'000)) == milliseconds(3'500));
+  CHECK(maxWatchWait(milliseconds(100)) ==
         peridotfall::proxy::limits::MinWatchWait);
-  CHECK(watchWait(milliseconds(60'000)) ==
+  CHECK(maxWatchWait(milliseconds(60'000)) ==
         peridotfall::proxy::limits::WatchWait);
 }
 
@@ -237,10 +238,10 @@
       [&](const std::string &line) { lines += line + "\n"; });
   ManualClock clock;
   FakeSource source;
-  MirrorOptions options;
+  ObjectCacheOptions options;
   options.Kind = "configuration";
   options.ReportAge = milliseconds(3'000);
-  Mirror cache(options, source, clock);
+  ObjectCache cache(options, source, clock);
   cache.start();
   source.Lists[0](MirrorFixture::page({}, 5));
   clock.advance(milliseconds(3'100));
--- a/tests/proxy/object_packer_test.cpp
+++ b/tests/proxy/object_packer_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace peridotfall;
 using namespace peridotfall::proxy;
-using messages::HeldObject;
+using messages::CachedObjectId;
 
 namespace {
 
@@ -38,7 +38,7 @@
     return {Name, spec, revision, false};
   }
   std::string send(const StoredObject &object,
-                   const std::vector<HeldObject> &held) {
+                   const std::vector<CachedObjectId> &held) {
     messages::WatchAnswer answer;
     answer.Changes.Outcome = ReadOutcome::Done;
     answer.Changes.Objects = {object};
@@ -47,9 +47,9 @@
   static std::optional<std::string> receive(const std::string &bytes,
                                             const StoredObject &held) {
     auto it = messages::decodeWatchAnswer(
-        bytes, [&](const HeldObject &base) -> const std::string * {
-          return base == HeldObject{held.Name, held.Revision} ? &held.Spec
-                                                              : nullptr;
+        bytes, [&](const CachedObjectId &base) -> const std::string * {
+          return base == CachedObjectId{held.Name, held.Revision} ? &held.Spec
+                                                                  : nullptr;
         });
     if (!it)
       return std::nullopt;
@@ -105,7 +105,7 @@
   auto request = messages::decodeWatchRequest(
       messages::encode(messages::WatchRequest{Kind, 7, Duration{}}));
   REQUIRE(request);
-  CHECK_FALSE(request.value().TakesPacked);
+  CHECK_FALSE(request.value().AcceptsPacked);
 }
 
 TEST_CASE("frame larger than the limit, is rejected") {
--- a/tests/proxy/own_record_test.cpp
+++ b/tests/proxy/own_record_test.cpp
@@ -32,14 +32,14 @@
 // and consider it missing.
 TEST_CASE_FIXTURE(OwnRecordFixture,
                   "previous process had a higher incarnation, it is exceeded") {
-  CHECK(Record.takeListed(90));
+  CHECK(Record.handleListed(90));
   CHECK(Record.incarnation() == 91);
-  CHECK_FALSE(Record.takeListed(90));
+  CHECK_FALSE(Record.handleListed(90));
 }
 
 TEST_CASE_FIXTURE(OwnRecordFixture, "own write listed, incarnation is kept") {
   write(true);
-  CHECK_FALSE(Record.takeListed(70));
+  CHECK_FALSE(Record.handleListed(70));
   CHECK(Record.incarnation() == 70);
 }
 
@@ -49,7 +49,7 @@
   write(true);
   Time.advance(limits::OwnRecordRetryPause);
   CHECK_FALSE(Record.isDue(true, Time.now()));
-  CHECK_FALSE(Record.takeListed(std::nullopt));
+  CHECK_FALSE(Record.handleListed(std::nullopt));
   CHECK(Record.isDue(true, Time.now()));
 }
 
--- a/tests/proxy/sessions_test.cpp
+++ b/tests/proxy/sessions_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-std::vector<StatementKind> kinds(const FakeTargets::Line &line) {
+std::vector<StatementKind> kinds(const FakeTargets::Connection &line) {
   std::vector<StatementKind> out;
   for (const auto &it : line.Seen)
     out.push_back(it.Kind);
@@ -24,12 +24,12 @@
     "single read of a primary route, proves that its target leads") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
-  greetAll();
+  completeHandshakes();
   auto id = busyAt("p");
   REQUIRE(id);
-  CHECK(kinds(Links.Lines.at(*id)) == std::vector{StatementKind::Begin,
-                                                  StatementKind::Read,
-                                                  StatementKind::Rollback});
+  CHECK(kinds(Links.Connections.at(*id)) ==
+        std::vector{StatementKind::Begin, StatementKind::Read,
+                    StatementKind::Rollback});
   serve("p", TransactionState::Open);
   CHECK(last(caller).Signature == "sig-q1");
   CHECK(last(caller).State == TransactionState::Idle);
@@ -42,10 +42,10 @@
                   "single read, target no longer leads, its row is dropped") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
   answer(id, failure(ErrorKind::ReadOnly, TransactionState::Idle));
-  answer(id, success(Links.Lines.at(id).Unanswered.front(),
+  answer(id, success(Links.Connections.at(id).Unanswered.front(),
                      TransactionState::Idle));
   answer(id, failure(ErrorKind::Malformed, TransactionState::Idle));
   CHECK(answers(caller).empty());
@@ -62,12 +62,13 @@
   send(caller, StatementKind::BeginRead);
   send(caller, StatementKind::Read, "READ a");
   pass(milliseconds(60));
-  greetAll();
+  completeHandshakes();
   std::optional<ConnectionId> id = busyAt("r") ? busyAt("r") : busyAt("s");
   REQUIRE(id);
-  CHECK(kinds(Links.Lines.at(*id)) == std::vector{StatementKind::BeginRead});
+  CHECK(kinds(Links.Connections.at(*id)) ==
+        std::vector{StatementKind::BeginRead});
   answer(*id, failure(ErrorKind::Lagging, TransactionState::Idle));
-  for (const auto &it : Links.Lines.at(*id).Seen)
+  for (const auto &it : Links.Connections.at(*id).Seen)
     CHECK(it.Kind != StatementKind::Read);
 }
 
@@ -76,11 +77,11 @@
   auto caller = session("orders");
   send(caller, StatementKind::Begin);
   send(caller, StatementKind::Write, "WRITE a x");
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
-  CHECK(kinds(Links.Lines.at(id)) == std::vector{StatementKind::Begin});
+  CHECK(kinds(Links.Connections.at(id)) == std::vector{StatementKind::Begin});
   serve("p", TransactionState::Open);
-  CHECK(kinds(Links.Lines.at(id)) ==
+  CHECK(kinds(Links.Connections.at(id)) ==
         std::vector{StatementKind::Begin, StatementKind::Write});
   CHECK(last(caller).State == TransactionState::Open);
 }
@@ -97,10 +98,10 @@
   REQUIRE(last(caller).ok());
   send(caller, StatementKind::Read, "READ a");
   pass(milliseconds(60));
-  greetAll();
+  completeHandshakes();
   auto id = busyAt("r") ? busyAt("r") : busyAt("s");
   REQUIRE(id);
-  CHECK(Links.Lines.at(*id).Unanswered.front().NotBefore ==
+  CHECK(Links.Connections.at(*id).Unanswered.front().NotBefore ==
         Position{InTerm, 140});
 }
 
@@ -110,9 +111,10 @@
                   "single write, connection lost, its outcome is unknown") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   CHECK(last(caller).Error->Kind == ErrorKind::InDoubt);
   CHECK(last(caller).State == TransactionState::Idle);
 }
@@ -128,7 +130,8 @@
   serve("p", TransactionState::Open);
   send(caller, StatementKind::Write, "WRITE b x");
   auto id = *busyAt("p");
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   CHECK(last(caller).Error->Kind == ErrorKind::Aborted);
   CHECK(last(caller).State == TransactionState::Failed);
   send(caller, StatementKind::Rollback);
@@ -144,7 +147,8 @@
   serve("p", TransactionState::Open);
   send(caller, StatementKind::Commit, "COMMIT");
   auto id = *busyAt("p");
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   CHECK(last(caller).Error->Kind == ErrorKind::InDoubt);
 }
 
@@ -154,21 +158,21 @@
                   "answers that moved up by one, are not passed on") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
-  answer(id, success(Links.Lines.at(id).Unanswered.front(),
+  answer(id, success(Links.Connections.at(id).Unanswered.front(),
                      TransactionState::Open));
   Answer rollback;
   rollback.Signature = "-";
   answer(id, rollback);
   CHECK(answers(caller).empty());
-  CHECK_FALSE(Links.Lines.at(id).Open);
+  CHECK_FALSE(Links.Connections.at(id).Open);
 }
 
 TEST_CASE_FIXTURE(ProxyFixture,
                   "write without a primary, waits and is refused as not run") {
   Entries.erase(TargetName("p"));
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   pass(milliseconds(400));
@@ -182,13 +186,13 @@
 TEST_CASE_FIXTURE(ProxyFixture,
                   "write without a primary, runs once a new one is listed") {
   Entries.erase(TargetName("p"));
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   pass(milliseconds(200));
   Entries.at(TargetName("r")).ClaimsPrimary = true;
   Entries.at(TargetName("r")).Revision = 9;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   serve("r", TransactionState::Idle);
   CHECK(last(caller).ok());
 }
@@ -208,7 +212,7 @@
   serve("p", TransactionState::Idle);
   send(other, StatementKind::Write, "WRITE b x");
   serve("p", TransactionState::Idle);
-  auto &line = Links.Lines.begin()->second;
+  auto &line = Links.Connections.begin()->second;
   CHECK(kinds(line) == std::vector{StatementKind::Set, StatementKind::Write,
                                    StatementKind::Reset, StatementKind::Write});
 }
@@ -228,11 +232,11 @@
   execute.Name = "s1";
   execute.Argument = "a x";
   Callers.statement(caller, execute);
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
   answer(id, success(Statement(), TransactionState::Idle));
   answer(id, failure(ErrorKind::NoStatement, TransactionState::Idle));
-  CHECK(kinds(Links.Lines.at(id)) ==
+  CHECK(kinds(Links.Connections.at(id)) ==
         std::vector{StatementKind::Prepare, StatementKind::Execute,
                     StatementKind::Prepare, StatementKind::Execute});
 }
@@ -244,13 +248,13 @@
                   "read behind a refused begin, does not prove leadership") {
   auto caller = session("orders");
   send(caller, StatementKind::Read, "READ a");
-  greetAll();
+  completeHandshakes();
   auto id = *busyAt("p");
   answer(id, failure(ErrorKind::ReadOnly, TransactionState::Idle));
-  answer(id, success(Links.Lines.at(id).Unanswered.front(),
+  answer(id, success(Links.Connections.at(id).Unanswered.front(),
                      TransactionState::Idle));
   answer(id, failure(ErrorKind::Malformed, TransactionState::Idle));
-  const auto &view = All.find(GroupName("ledger"))->View;
+  const auto &view = TargetGroups.find(GroupName("ledger"))->View;
   CHECK_FALSE(view.leader());
   CHECK_FALSE(view.positionFor(milliseconds(1'500), Time.now()));
 }
@@ -285,22 +289,22 @@
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
   serve("p", TransactionState::Idle);
-  REQUIRE(Links.Lines.size() == 1);
-  Entries.at(TargetName("p")).Born = 2;
+  REQUIRE(Links.Connections.size() == 1);
+  Entries.at(TargetName("p")).StartId = 2;
   Entries.at(TargetName("p")).Revision = 50;
-  All.takeTargets(Entries);
-  CHECK_FALSE(Links.Lines.begin()->second.Open);
+  TargetGroups.updateTargets(Entries);
+  CHECK_FALSE(Links.Connections.begin()->second.Open);
   send(caller, StatementKind::Write, "WRITE b x");
   serve("p", TransactionState::Idle);
   CHECK(last(caller).ok());
-  CHECK(Links.Lines.size() == 2);
+  CHECK(Links.Connections.size() == 2);
 }
 
 // A leaving replica gets no new statements; reads go to another target.
 TEST_CASE_FIXTURE(ProxyFixture, "replica leaving, reads go elsewhere") {
   learnHead();
   Entries.at(TargetName("r")).Leaving = true;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   for (unsigned n = 0; n < 5; ++n) {
     auto caller = session("views");
     send(caller, StatementKind::Read, "READ a");
@@ -309,7 +313,7 @@
     serve("p", TransactionState::Open);
     CHECK(last(caller).ok());
   }
-  for (const auto &[id, it] : Links.Lines)
+  for (const auto &[id, it] : Links.Connections)
     CHECK(it.Target.Value != "r");
 }
 
@@ -319,9 +323,9 @@
     ProxyFixture,
     "primary leaving, gets writes until its limit and none after") {
   learnHead();
-  All.setLeavingLimit(milliseconds(7'000));
+  TargetGroups.setLeavingLimit(milliseconds(7'000));
   Entries.at(TargetName("p")).Leaving = true;
-  All.takeTargets(Entries);
+  TargetGroups.updateTargets(Entries);
   pass(milliseconds(5'500));
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
@@ -332,7 +336,7 @@
     auto late = session(n % 2 == 0 ? "orders" : "views");
     send(late, StatementKind::Write, "WRITE b x");
     pass(milliseconds(100));
-    greetAll();
+    completeHandshakes();
     CHECK_FALSE(busyAt("p"));
   }
 }
@@ -344,7 +348,7 @@
                   "target busy for a while, statement is retried for longer") {
   auto caller = session("orders");
   send(caller, StatementKind::Write, "WRITE a x");
-  greetAll();
+  completeHandshakes();
   for (unsigned n = 0; n < 15; ++n) {
     if (auto id = busyAt("p"))
       answer(*id, failure(ErrorKind::Busy, TransactionState::Idle));
@@ -362,11 +366,11 @@
   auto newer = Callers.routes();
   newer.Version = 7;
   newer.Routes.erase(DatabaseName("views"));
-  CHECK(Callers.takeRoutes(newer));
+  CHECK(Callers.applyRoutes(newer));
   auto older = Callers.routes();
   older.Version = 6;
   older.Routes.clear();
-  CHECK_FALSE(Callers.takeRoutes(older));
+  CHECK_FALSE(Callers.applyRoutes(older));
   CHECK(Callers.routes() == newer);
 }
 
@@ -380,8 +384,9 @@
   send(caller, StatementKind::Write, "WRITE a x");
   serve("p", TransactionState::Open);
   REQUIRE(last(caller).ok());
-  auto id = Links.Lines.begin()->first;
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  auto id = Links.Connections.begin()->first;
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   send(caller, StatementKind::Write, "WRITE b x");
   pass(milliseconds(100));
   CHECK(last(caller).Error->Kind == ErrorKind::Aborted);
@@ -396,8 +401,9 @@
   send(caller, StatementKind::Begin);
   send(caller, StatementKind::Write, "WRITE a x");
   serve("p", TransactionState::Open);
-  auto id = Links.Lines.begin()->first;
-  All.withPools(TargetName("p"), [&](TargetPool &pool) { pool.closed(id); });
+  auto id = Links.Connections.begin()->first;
+  TargetGroups.withPools(TargetName("p"),
+                         [&](TargetPool &pool) { pool.closed(id); });
   send(caller, StatementKind::Commit, "COMMIT");
   pass(milliseconds(100));
   CHECK(last(caller).Error->Kind == ErrorKind::Aborted);
@@ -413,7 +419,7 @@
     auto caller = session("views");
     send(caller, StatementKind::Read, "READ a");
     pass(milliseconds(60));
-    greetAll();
+    completeHandshakes();
     std::string target = busyAt("r") ? "r" : "s";
     if (leaves && target == "r")
       Callers.closed(caller);
@@ -442,7 +448,7 @@
   constexpr milliseconds AnswerTime{60};
   auto first = session("orders");
   send(first, StatementKind::Read, "READ a");
-  greetAll();
+  completeHandshakes();
   Time.advance(AnswerTime);
   serve("p", TransactionState::Open);
   REQUIRE(last(first).ok());
@@ -478,7 +484,7 @@
   auto reader = session("views");
   send(reader, StatementKind::Read, "READ a");
   for (const char *replica : {"r", "s", "r", "s"}) {
-    greetAll();
+    completeHandshakes();
     if (auto id = busyAt(replica))
       answer(*id, behind);
   }
@@ -510,13 +516,14 @@
     callers.push_back(session("views"));
     send(callers.back(), StatementKind::Read, "READ a");
   }
-  greetAll();
+  completeHandshakes();
   pass(milliseconds(100));
   auto first = busyAt("p");
   REQUIRE(first);
   for (auto state :
        {TransactionState::Open, TransactionState::Open, TransactionState::Idle})
-    answer(*first, success(Links.Lines.at(*first).Unanswered.front(), state));
+    answer(*first,
+           success(Links.Connections.at(*first).Unanswered.front(), state));
   pass(milliseconds(100));
   std::size_t refused = 0;
   for (auto caller : callers)
--- a/tests/proxy/shared_watch_test.cpp
+++ b/tests/proxy/shared_watch_test.cpp
@@ -17,7 +17,7 @@
 constexpr auto Kind = "configuration";
 /// Time within which a configuration must be in force.
 constexpr milliseconds ConfigurationLimit{3'000};
-const milliseconds MaxAge = freshFor(ConfigurationLimit);
+const milliseconds MaxAge = maxCacheAge(ConfigurationLimit);
 /// A store with one object that the test changes. It ignores a watch that is
 /// replaced by another before its answer.
 struct FakeStore final : ObjectSource {
@@ -103,17 +103,17 @@
   FakeStore OwnStore{Time};
   WatchHost Host{Time};
   FakeLink Link{Host, Time};
-  Mirror WatcherCache{
+  ObjectCache WatcherCache{
       {.Kind = Kind, .WatchWait = MaxAge / limits::MaxAgeDivisor},
       WatchersStore,
       Time};
   SharedWatch Watch{OwnStore, Link, Kind, MaxAge, Time};
-  Mirror OwnCache{
+  ObjectCache OwnCache{
       {.Kind = Kind, .WatchWait = milliseconds(8'000)}, Watch, Time};
 
   SharedWatchFixture() {
     Host.add(WatcherCache, true);
-    Watch.takeMembers(sharingDaemon(), Here, membersOf(6));
+    Watch.updateMembers(sharingDaemon(), Here, membersOf(6));
     WatcherCache.start();
     OwnCache.start();
   }
@@ -152,9 +152,9 @@
     watching += plan.Watchers.empty();
     CHECK(plan.WatchesForOthers == plan.Watchers.empty());
     CHECK((plan.Watchers.empty() ||
-           plan.Watchers.size() == limits::WatchersOfDomain));
+           plan.Watchers.size() == limits::WatchersPerDomain));
   }
-  CHECK(watching == limits::WatchersOfDomain);
+  CHECK(watching == limits::WatchersPerDomain);
   CHECK(planWatches(live[0].Vm, DomainName("other"), live).Watchers.empty());
   CHECK(planWatches(live[0].Vm, Here, membersOf(3)).Watchers.empty());
 }
@@ -174,7 +174,7 @@
   live[3].Leaving = true;
   CHECK(planWatches(live[9].Vm, Here, live).WatchesForOthers);
   CHECK(planWatches(live[0].Vm, Here, live).Watchers.size() ==
-        limits::WatchersOfDomain);
+        limits::WatchersPerDomain);
 }
 
 // Guards against watches of the store by all daemons, as its call rate is low.
--- a/tests/proxy/store_outage_test.cpp
+++ b/tests/proxy/store_outage_test.cpp
@@ -94,13 +94,13 @@
          ObjectSource &store, DaemonLinks &links, milliseconds limit,
          const Clock &clock)
       : Self(self), Host(clock),
-        Watch(store, links, Kind, freshFor(limit), clock),
+        Watch(store, links, Kind, maxCacheAge(limit), clock),
         Cache({.Kind = Kind,
-               .Backoff = returnBackoff(1'000),
-               .WatchWait = watchWait(limit)},
+               .Backoff = recoveryBackoff(1'000),
+               .WatchWait = maxWatchWait(limit)},
               Watch, clock) {
     Host.add(Cache, true);
-    Watch.takeMembers(Self.Vm, Here, live);
+    Watch.updateMembers(Self.Vm, Here, live);
     Cache.start();
   }
   void tick() {
@@ -111,7 +111,7 @@
   Member Self;
   WatchHost Host;
   SharedWatch Watch;
-  Mirror Cache;
+  ObjectCache Cache;
 };
 
 void DaemonLinks::watch(const std::string &address,
--- a/tests/proxy/target_pool_test.cpp
+++ b/tests/proxy/target_pool_test.cpp
@@ -30,7 +30,7 @@
     batch.Statements[0].Kind = StatementKind::Read;
     batch.Statements[0].Id = id;
     batch.EndsLease = !keeps;
-    batch.Patience = milliseconds(500);
+    batch.Timeout = milliseconds(500);
     LeaseRequest request{TargetName("t"), priority, milliseconds(300),
                          milliseconds(800)};
     return Pool.begin(request, batch, [this, id](const BatchResult &it) {
@@ -47,13 +47,13 @@
   }
   std::size_t running() const {
     std::size_t n = 0;
-    for (const auto &[id, it] : Links.Lines)
+    for (const auto &[id, it] : Links.Connections)
       n += it.Open && !it.Unanswered.empty();
     return n;
   }
   /// Answers one statement.
   void serveOne() {
-    for (auto &[id, it] : Links.Lines) {
+    for (auto &[id, it] : Links.Connections) {
       if (!it.Open || it.Unanswered.empty())
         continue;
       Answer answer;
@@ -128,7 +128,7 @@
     it.Statements[0].Kind = StatementKind::Read;
     it.Statements[0].Id = "q";
     it.EndsLease = last;
-    it.Patience = milliseconds(1'000);
+    it.Timeout = milliseconds(1'000);
     return it;
   }
   void beginOne(const Load &load, unsigned statements, Outcome &out) {
@@ -146,7 +146,7 @@
                     const std::shared_ptr<LeaseId> &lease,
                     const std::shared_ptr<unsigned> &left, TimePoint since,
                     Outcome &out) {
-    if (it.End != BatchEnd::Whole) {
+    if (it.End != BatchEnd::Complete) {
       ++out.Refused;
       // During the first third the answer time isn't known yet.
       if (since - Start > Span / 3)
@@ -160,7 +160,7 @@
                });
   }
   void serveDue() {
-    for (auto &[id, line] : Links.Lines) {
+    for (auto &[id, line] : Links.Connections) {
       if (line.Unanswered.empty())
         continue;
       auto since = WorkSince.try_emplace(id, Time.now()).first->second;
@@ -208,7 +208,7 @@
   CHECK(Links.Opening.size() == 3);
   serveAll();
   CHECK(Finished.size() == 8);
-  CHECK(Links.Lines.size() == 3);
+  CHECK(Links.Connections.size() == 3);
 }
 
 // For three seconds, 220 statements a second of 18 ms each arrive at a target
@@ -272,7 +272,7 @@
   next.Statements.resize(1);
   next.Statements[0].Kind = StatementKind::Read;
   next.Statements[0].Id = "next";
-  next.Patience = milliseconds(500);
+  next.Timeout = milliseconds(500);
   Pool.run(held, next, [](const BatchResult &) {});
   CHECK(running() == 4);
 }
@@ -295,6 +295,6 @@
   serveOne();
   Time.advance(milliseconds(520));
   Pool.tick();
-  for (const auto &[id, it] : Links.Lines)
+  for (const auto &[id, it] : Links.Connections)
     CHECK_FALSE(it.Open);
 }
--- a/tests/standin/platform.cpp
+++ b/tests/standin/platform.cpp
@@ -77,7 +77,9 @@
   if (Down) {
     // No answer, as from an unreachable store: the caller has to time out.
     guard.unlock();
-    runAfter(NoAnswerDelay, [respond] { respond({http::StatusBad, {}, ""}); });
+    runAfter(NoAnswerDelay, [respond] {
+      respond({http::StatusBadRequest, {}, ""});
+    });
     return;
   }
   ++Counts[request.Method + " " +
@@ -117,7 +119,7 @@
     guard.unlock();
     if (lose)
       runAfter(NoAnswerDelay, [respond] {
-        respond({http::StatusBad, {}, ""});
+        respond({http::StatusBadRequest, {}, ""});
       });
     else
       respond(std::move(response));
@@ -176,7 +178,7 @@
 http::Response Platform::control(const std::string &body) {
   auto parsed = parseJson(body);
   if (!parsed)
-    return {http::StatusBad, {}, "not JSON"};
+    return {http::StatusBadRequest, {}, "not JSON"};
   const auto &it = parsed.value();
   std::lock_guard guard(Lock);
   Down = it.value("down", Down);
--- a/tests/standin/target.cpp
+++ b/tests/standin/target.cpp
@@ -66,7 +66,7 @@
                     const http::Respond &respond) {
   auto body = parseJson(request.Body);
   if (!body || !body.value().is_object()) {
-    respond({http::StatusBad, {}, ""});
+    respond({http::StatusBadRequest, {}, ""});
     return;
   }
   if (request.Path == "/control") {
@@ -78,7 +78,7 @@
   try {
     route(request, body.value(), respond);
   } catch (const Json::exception &) {
-    respond({http::StatusBad, {}, ""});
+    respond({http::StatusBadRequest, {}, ""});
   }
 }
 
--- a/tests/standin/target_statements.cpp
+++ b/tests/standin/target_statements.cpp
@@ -42,12 +42,12 @@
                      const http::Respond &respond) {
   auto parsed = target::requestFromJson(body);
   if (!parsed || Connected.count(request.Connection) == 0) {
-    respond({http::StatusBad, {}, ""});
+    respond({http::StatusBadRequest, {}, ""});
     return;
   }
   auto expires = std::chrono::steady_clock::now() + parsed->Budget;
-  Queue.push_back(
-      {std::move(*parsed), request.Connection, respond, request.Gone, expires});
+  Queue.push_back({std::move(*parsed), request.Connection, respond,
+                   request.Cancelled, expires});
   runNext();
 }
 
--- a/tools/lease_corpus.cpp
+++ b/tools/lease_corpus.cpp
@@ -1,8 +1,8 @@
 // Writes valid seed inputs of fuzz/corpus/lease.
 // Usage: lease_corpus FOLDER
 
-#include "messages/copy.h"
 #include "messages/lease.h"
+#include "messages/snapshot.h"
 
 #include <fstream>
 #include <iostream>
@@ -18,17 +18,17 @@
 proxy::Batch makeBatch() {
   proxy::Batch it;
   it.Session = {{"zone", "press"}};
-  it.Needs = {{true, "q2c"}};
-  it.Statements = {proxy::ownStatement(proxy::StatementKind::Begin)};
+  it.RequiredPrepared = {{true, "q2c"}};
+  it.Statements = {proxy::makeProxyStatement(proxy::StatementKind::Begin)};
   it.Statements[0].NotBefore = Position{3, 17};
-  it.Patience = std::chrono::milliseconds(300);
+  it.Timeout = std::chrono::milliseconds(300);
   return it;
 }
 
 proxy::BatchResult makeResult() {
   proxy::BatchResult it;
-  it.End = proxy::BatchEnd::Whole;
-  it.Kept = true;
+  it.End = proxy::BatchEnd::Complete;
+  it.LeaseKept = true;
   it.Answers.resize(1);
   it.Answers[0].Rows = {"row"};
   it.Answers[0].Signature = "7.1f3";
@@ -52,7 +52,7 @@
   write(folder + "run", messages::encode(messages::RunLease{{7}, makeBatch()}));
   write(folder + "answer",
         messages::encode(messages::LeaseAnswer{makeResult(), {7}}));
-  write(folder + "copy", messages::encode(messages::CopyAnswer{
+  write(folder + "copy", messages::encode(messages::SnapshotAnswer{
                              9, {{"a", {"a", "{}", 3, false}}}}));
   return 0;
 }
